--- a/eiderstep/isup/__init__.py
+++ b/eiderstep/isup/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's binary messages, an ISUP in miniature: types, parameters, incremental parser.  Sans-I/O."""
+"""The platform's binary messages, a small subset of ISUP: types, parameters, parser.  Performs no I/O."""
--- a/eiderstep/isup/message.py
+++ b/eiderstep/isup/message.py
@@ -1,20 +1,20 @@
 """Messages of the platform: types as in Q.763, causes as in Q.850, parameters as the platform numbers them.
 
-A message is a type, the call's 64-bit reference as 16 hex digits, and parameters kept as the bytes that came:
-class, number and description are passed on unchanged.
+A message has a type, the call's 64-bit reference (16 hex digits) and parameters.  Parameter values are kept
+as the bytes received, so that class, number and description can be forwarded unchanged.
 """
 
 from __future__ import annotations
 
 from collections.abc import Mapping
 
-LARGEST = 16 * 1024  # bytes that a length may count
-HEAD = 9  # type and call reference
-NO_CALL = "0" * 16
+MAX_LENGTH = 16 * 1024  # bytes; the largest value allowed in the length field
+HEADER_LENGTH = 9  # bytes of message type and call reference
+NO_CALL = "0" * 16  # call reference of a message that belongs to no call
 
 # Types.
-IAM, ACM, ANM, REL, RLC = 1, 6, 9, 12, 16  # set-up, progress, answer, release, release heard
-STATE, TEST, TESTED = 43, 52, 53  # of a group; of a connection, and its result
+IAM, ACM, ANM, REL, RLC = 1, 6, 9, 12, 16  # set-up, progress, answer, release, release complete
+STATE, TEST, TESTED = 43, 52, 53  # state of a group; test of a connection, result of that test
 TYPES = frozenset((IAM, ACM, ANM, REL, RLC, STATE, TEST, TESTED))
 NAMES = {
     IAM: "IAM", ACM: "ACM", ANM: "ANM", REL: "REL", RLC: "RLC", STATE: "STATE", TEST: "TEST",
@@ -22,16 +22,16 @@
 }  # fmt: skip
 
 # Parameters.
-CLASS, PATIENCE, NUMBER, FIGURES, PAUSE, NOTE, REPORT = 180, 181, 184, 185, 186, 187, 189
+CLASS, PATIENCE, NUMBER, FIGURES, PAUSE, DIAGNOSTIC, REPORT = 180, 181, 184, 185, 186, 187, 189
 CAUSE, DESCRIPTION = 194, 195
 
 # Causes.
 NORMAL, BUSY, UNSPECIFIED, NO_CIRCUIT, TEMPORARY, CONGESTION, PREEMPTED = 16, 17, 31, 34, 41, 42, 47
-INVALID, RECOVERY = 100, 102  # contents of a parameter; recovery on timer expiry
+INVALID, RECOVERY = 100, 102  # invalid parameter contents; recovery on timer expiry
 
 
 class Message:
-    """One message.  Raises nothing: the parser has checked its form, not its sense."""
+    """One message.  The parser has checked its framing, not the contents of its parameters."""
 
     __slots__ = ("call", "kind", "parameters")
 
@@ -50,58 +50,58 @@
 
     @property
     def cause(self) -> int | None:
-        """The cause, or None where it is absent or not one byte."""
+        """The cause, or None if it is absent or not one byte long."""
         value = self.parameters.get(CAUSE, b"")
         return value[0] if len(value) == 1 else None
 
-    def text(self, code: int) -> str | None:
-        """A parameter as printable ASCII, or None where it is absent or is none."""
+    def text_parameter(self, code: int) -> str | None:
+        """A parameter as printable ASCII, or None if it is absent or contains anything else."""
         value = self.parameters.get(code)
         if value is None or not value.isascii():
             return None
         text = value.decode("ascii")
         return text if text.isprintable() else None
 
-    def number(self, code: int) -> int | None:
-        """A parameter of up to 18 decimal digits, or None.
+    def decimal_parameter(self, code: int) -> int | None:
+        """The value of a parameter of up to 18 decimal digits, or None if it is anything else.
 
-        Danger: int() of Python takes signs, blanks and underscores, and its time grows with the digits
-        squared; a figure past 64 bits fits no clock.
+        Python's int() accepts signs, blanks and underscores, and its run time grows with the square of the
+        number of digits; values beyond 64 bits do not fit a clock.
         """
         value = self.parameters.get(code, b"")
         return int(value) if value.isdigit() and len(value) <= 18 else None
 
     def encode(self) -> bytes:
-        """The message as it goes out.  Raises ValueError where it would be too long."""
+        """The message in wire format.  Raises ValueError if it is longer than MAX_LENGTH."""
         body = b"".join(
             bytes((code,)) + len(value).to_bytes(2, "big") + value for code, value in self.parameters.items()
         )
-        size = HEAD + len(body)
-        if size > LARGEST:
-            raise ValueError(f"a message of {size} bytes; allowed: {LARGEST}")
+        size = HEADER_LENGTH + len(body)
+        if size > MAX_LENGTH:
+            raise ValueError(f"message length {size} bytes; allowed: {MAX_LENGTH}")
         return size.to_bytes(2, "big") + bytes((self.kind,)) + bytes.fromhex(self.call) + body
 
 
-def release(call: str, cause: int, pause: int = 0) -> bytes:
-    """A release or refusal; `pause`: how long the caller should stay away (ms), 0 for no advice."""
+def encode_release(call: str, cause: int, pause: int = 0) -> bytes:
+    """Encode a release or refusal; `pause`: the time before a retry in ms, 0 for none."""
     parameters = {CAUSE: bytes((cause,))}
     if pause:
         parameters[PAUSE] = str(pause).encode()
     return Message(REL, call, parameters).encode()
 
 
-def figures(text: str) -> dict[str, float] | None:
-    """Pairs such as `dest:2;width:1` or `x0:12;queue:3`; None where they cannot be read.
+def parse_pairs(text: str) -> dict[str, float] | None:
+    """Parse name:value pairs such as `dest:2;width:1` or `x0:12;queue:3`; None if the text is malformed.
 
-    Only plain decimal figures: no sign but a leading minus, no exponent, no more than 18 characters.
+    Values are plain decimal numbers of at most 18 characters: a leading minus is allowed, an exponent is not.
     """
-    found: dict[str, float] = {}
+    pairs: dict[str, float] = {}
     for pair in text.split(";") if text else ():
         name, colon, value = pair.partition(":")
         digits = value.removeprefix("-").replace(".", "", 1)
-        if not colon or not name or name in found or len(value) > 18:
+        if not colon or not name or name in pairs or len(value) > 18:
             return None
         if not (digits.isascii() and digits.isdigit()):
             return None
-        found[name] = float(value)
-    return found
+        pairs[name] = float(value)
+    return pairs
--- a/eiderstep/isup/parser.py
+++ b/eiderstep/isup/parser.py
@@ -1,12 +1,12 @@
-"""An incremental parser: chunks in, whole messages out, one `Unreadable` at the end of a spoilt stream."""
+"""Incremental parser: turns chunks of a byte stream into messages and stops at the first error."""
 
 from __future__ import annotations
 
-from eiderstep.isup.message import HEAD, LARGEST, TYPES, Message
+from eiderstep.isup.message import HEADER_LENGTH, MAX_LENGTH, TYPES, Message
 
 
 class Unreadable:
-    """What cannot be read; nothing after it on that connection can be."""
+    """A framing error.  Nothing after it on that connection can be parsed.  `why`: what was found."""
 
     __slots__ = ("why",)
 
@@ -15,60 +15,60 @@
 
 
 class Parser:
-    """Messages of one connection.
+    """Parser for the messages of one connection.
 
-    Danger: a length is all that tells where the next message begins, so after one that cannot be right there
-    is nothing to go on with.  It is judged from its two bytes, before anything is kept for it: what a sender
-    can make us hold is one message.
+    The length field is the only message delimiter, so the stream cannot be resynchronised after an invalid
+    one.  The length is checked as soon as its two bytes have arrived, which limits the memory that a sender
+    can occupy to one message of the largest allowed length.
     """
 
-    __slots__ = ("broken", "held")
+    __slots__ = ("failed", "remainder")
 
     def __init__(self) -> None:
-        self.held = b""
-        self.broken = False
+        self.remainder = b""
+        self.failed = False
 
     def feed(self, data: bytes) -> list[Message | Unreadable]:
-        """The messages that are whole now, in order.  After `Unreadable` nothing more comes."""
-        if self.broken:
+        """Return the messages that `data` completes, in order; after an `Unreadable`, nothing."""
+        if self.failed:
             return []
-        buffer = self.held + data if self.held else data
-        found: list[Message | Unreadable] = []
-        at, end = 0, len(buffer)
-        while end - at >= 2:
-            size = buffer[at] << 8 | buffer[at + 1]
-            if not HEAD <= size <= LARGEST:
-                return self._spoilt(found, f"length {size}; allowed: {HEAD} to {LARGEST}")
-            if end - at >= 3 and buffer[at + 2] not in TYPES:
-                return self._spoilt(found, f"message type {buffer[at + 2]}")
-            stop = at + 2 + size
-            if stop > end:
+        buffer = self.remainder + data if self.remainder else data
+        items: list[Message | Unreadable] = []
+        offset, buffer_end = 0, len(buffer)
+        while buffer_end - offset >= 2:
+            size = buffer[offset] << 8 | buffer[offset + 1]
+            if not HEADER_LENGTH <= size <= MAX_LENGTH:
+                return self._fail(items, f"length {size}; allowed: {HEADER_LENGTH} to {MAX_LENGTH}")
+            if buffer_end - offset >= 3 and buffer[offset + 2] not in TYPES:
+                return self._fail(items, f"unknown message type {buffer[offset + 2]}")
+            message_end = offset + 2 + size
+            if message_end > buffer_end:
                 break
-            parameters = self._parameters(buffer, at + 2 + HEAD, stop)
+            parameters = self._parse_parameters(buffer, offset + 2 + HEADER_LENGTH, message_end)
             if isinstance(parameters, str):
-                return self._spoilt(found, parameters)
-            found.append(Message(buffer[at + 2], buffer[at + 3 : at + 11].hex(), parameters))
-            at = stop
-        self.held = buffer[at:]
-        return found
+                return self._fail(items, parameters)
+            items.append(Message(buffer[offset + 2], buffer[offset + 3 : offset + 11].hex(), parameters))
+            offset = message_end
+        self.remainder = buffer[offset:]
+        return items
 
     @staticmethod
-    def _parameters(buffer: bytes, at: int, stop: int) -> dict[int, bytes] | str:
+    def _parse_parameters(buffer: bytes, offset: int, message_end: int) -> dict[int, bytes] | str:
         parameters: dict[int, bytes] = {}
-        while at < stop:
-            if stop - at < 3:
-                return "a parameter cut short"
-            code, size = buffer[at], buffer[at + 1] << 8 | buffer[at + 2]
-            at += 3
-            if size > stop - at:
-                return f"parameter {code} of {size} bytes where {stop - at} are left"
+        while offset < message_end:
+            if message_end - offset < 3:
+                return "truncated parameter header"
+            code, size = buffer[offset], buffer[offset + 1] << 8 | buffer[offset + 2]
+            offset += 3
+            if size > message_end - offset:
+                return f"parameter {code}: length {size}, but {message_end - offset} bytes are left"
             if code in parameters:
-                return f"parameter {code} twice"
-            parameters[code] = buffer[at : at + size]
-            at += size
+                return f"duplicate parameter {code}"
+            parameters[code] = buffer[offset : offset + size]
+            offset += size
         return parameters
 
-    def _spoilt(self, found: list[Message | Unreadable], why: str) -> list[Message | Unreadable]:
-        self.broken, self.held = True, b""
-        found.append(Unreadable(why))
-        return found
+    def _fail(self, items: list[Message | Unreadable], why: str) -> list[Message | Unreadable]:
+        self.failed, self.remainder = True, b""
+        items.append(Unreadable(why))
+        return items
--- a/eiderstep/node/__init__.py
+++ b/eiderstep/node/__init__.py
@@ -1,4 +1,4 @@
-"""The call server on the users' platform: its calls, links, callers, change log and process.
+"""The call server on the users' platform: call table, links to offices, callers, change log and process.
 
-`calls` is the call table and `bounds` what callers may cost, both without I/O; the rest moves bytes.
+`calls` (the call table) and `bounds` (limits on callers' connections) perform no I/O; the other modules do.
 """
--- a/eiderstep/node/bounds.py
+++ b/eiderstep/node/bounds.py
@@ -1,4 +1,4 @@
-"""What callers may cost: connections, silence, floods.  No I/O, no clock, no office, no route."""
+"""Limits on callers: open connections, silent connections, message rates.  No I/O, no clock."""
 
 from __future__ import annotations
 
@@ -9,83 +9,101 @@
 
 SECOND = 1_000_000_000
 MS = 1_000_000
-SPEAK = 2_500 * MS  # a connection has to say a whole message within this
-SHARE = 0.6  # of the descriptors: connections from callers; the rest is for all else
-RATE = 1000  # messages a second of one source, as many at once; the busiest honest one is far below
-ALL = 3000  # of all sources together, as many at once; beyond it those over their part are read slowly
-PART = 200  # messages above the rate that a source may have then
-LONGEST_PAUSE = SECOND // 4  # without reading: a hostile one, too, has its refusals in time
-SOURCES = 4096  # remembered at most
+FIRST_MESSAGE_TIMEOUT = 2_500 * MS  # ns; a new connection has to send a complete message within this time
+CALLER_DESCRIPTOR_SHARE = 0.6  # share of the file descriptors available to callers' connections
+SOURCE_RATE = 1000  # messages/s and burst of one source; the busiest legitimate source stays far below it
+# Messages/s and burst of all sources together; beyond it sources above SOURCE_ALLOWANCE are read slowly.
+TOTAL_RATE = 3000
+SOURCE_ALLOWANCE = 200  # backlog (messages) that a source may have while TOTAL_RATE is exceeded
+MAX_READ_PAUSE = SECOND // 4  # ns; short enough that even a flooding source receives its refusals in time
+MAX_SOURCES = 4096  # sources whose message rate is tracked
 
 
-class Door:
+class CallerConnection:
     """One connection from a caller."""
 
-    __slots__ = ("came", "source", "spoke")
+    __slots__ = ("accepted_at", "has_spoken", "source")
 
     def __init__(self, source: str, now: int) -> None:
-        self.source, self.came = source, now
-        self.spoke = False
+        self.source, self.accepted_at = source, now
+        self.has_spoken = False
 
 
-class Bounds:
-    """All connections from callers, the longest unused first."""
+class CallerLimits:
+    """Connections from callers, least recently used first, and the message rates of their sources."""
 
     def __init__(self, sockets: int) -> None:
-        self.most = max(int(sockets * SHARE), 16)
-        self.doors: OrderedDict[int, Door] = OrderedDict()
-        self.sources: OrderedDict[str, Bucket] = OrderedDict()
-        self.all = Bucket(ALL)
+        self.max_connections = max(int(sockets * CALLER_DESCRIPTOR_SHARE), 16)
+        self.connections: OrderedDict[int, CallerConnection] = OrderedDict()
+        self.source_buckets: OrderedDict[str, Bucket] = OrderedDict()
+        self.total_bucket = Bucket(TOTAL_RATE)
 
-    def came(self, now: int, flow: int, source: str, weight: Callable[[int], int]) -> int | None:
-        """A connection came in.  Which one is closed for it, None where there is room; itself, if none may.
+    def admit(self, now: int, flow: int, source: str, weight: Callable[[int], int]) -> int | None:
+        """Register a new connection; return the flow of the connection to close for it, or None.
 
-        `weight` of a flow: 0 where no call hangs on it, 1 where calls stand, 2 where a set-up is open.
+        `weight` of a flow: 0 if it carries no call, 1 if it has standing calls, 2 if it has an open set-up.
 
-        Danger: hundreds that say nothing, or that keep a connection for good, would use up the descriptors,
-        and no caller, office or change log could be spoken with.  Those that have said nothing go first, then
-        those longest unused; one with a set-up open never goes.
+        Without this limit, hundreds of silent or permanently held connections would use up the file
+        descriptors, and no new connection to a caller, office or change log could be opened.  Connections
+        that have sent nothing are closed first, then the least recently used of the lowest weight.  One with
+        an open set-up is never closed; if all others have one, the new connection itself is returned.
         """
-        self.doors[flow] = Door(source, now)
-        if len(self.doors) <= self.most:
+        self.connections[flow] = CallerConnection(source, now)
+        if len(self.connections) <= self.max_connections:
             return None
-        silent = next((f for f, door in self.doors.items() if not door.spoke and f != flow), None)
+        silent = next(
+            (
+                other
+                for other, connection in self.connections.items()
+                if not connection.has_spoken and other != flow
+            ),
+            None,
+        )
         if silent is not None:
             return silent
-        light = min((f for f in self.doors if f != flow), key=weight, default=flow)
-        return light if weight(light) < 2 else flow
-
-    def spoke(self, flow: int) -> None:
-        """A whole message came on it."""
-        door = self.doors.get(flow)
-        if door is not None:
-            door.spoke = True
-            self.doors.move_to_end(flow)
-
-    def pour(self, now: int, flow: int, count: int) -> int:
-        """So many messages came on it; how long it is not read now (ns).
-
-        Danger: one that writes at full speed has the process busy with what it refuses, and calls of others
-        wait for seconds.  Not read, it waits itself, in its own kernel's buffer.  Hurts a source that has
-        over a thousand messages a second to say, by up to a quarter of a second at a time.
+        lightest = min((other for other in self.connections if other != flow), key=weight, default=flow)
+        return lightest if weight(lightest) < 2 else flow
+
+    def message_received(self, flow: int) -> None:
+        """Record a complete message on a connection."""
+        connection = self.connections.get(flow)
+        if connection is not None:
+            connection.has_spoken = True
+            self.connections.move_to_end(flow)
+
+    def charge_messages(self, now: int, flow: int, count: int) -> int:
+        """Charge `count` received messages to a connection's source; return how long to stop reading (ns).
+
+        A source that writes at full speed keeps the process busy with refusing its messages, and calls of
+        other sources wait for seconds.  While its connection is not read, backpressure holds its messages in
+        its own kernel's buffer.  A source with over a thousand messages a second is delayed by up to a
+        quarter of a second at a time.
         """
-        door = self.doors.get(flow)
-        if door is None:
+        connection = self.connections.get(flow)
+        if connection is None:
             return 0
-        bucket = self.sources.get(door.source)
+        bucket = self.source_buckets.get(connection.source)
         if bucket is None:
-            if len(self.sources) >= SOURCES:
-                self.sources.popitem(last=False)
-            bucket = self.sources[door.source] = Bucket(RATE)
-        self.sources.move_to_end(door.source)
+            if len(self.source_buckets) >= MAX_SOURCES:
+                self.source_buckets.popitem(last=False)
+            bucket = self.source_buckets[connection.source] = Bucket(SOURCE_RATE)
+        self.source_buckets.move_to_end(connection.source)
         bucket.pour(now, count)
-        self.all.pour(now, count)
-        over = max(bucket.level - RATE, min(self.all.level - ALL, bucket.level - PART), 0.0)
-        return min(int(over / RATE * SECOND), LONGEST_PAUSE)
-
-    def closed(self, flow: int) -> None:
-        self.doors.pop(flow, None)
-
-    def late(self, now: int) -> list[int]:
-        """Connections whose time to say something is over."""
-        return [f for f, door in self.doors.items() if not door.spoke and now - door.came >= SPEAK]
+        self.total_bucket.pour(now, count)
+        excess = max(
+            bucket.level - SOURCE_RATE,
+            min(self.total_bucket.level - TOTAL_RATE, bucket.level - SOURCE_ALLOWANCE),
+            0.0,
+        )
+        return min(int(excess / SOURCE_RATE * SECOND), MAX_READ_PAUSE)
+
+    def remove(self, flow: int) -> None:
+        self.connections.pop(flow, None)
+
+    def silent_connections(self, now: int) -> list[int]:
+        """Connections that have sent no complete message within FIRST_MESSAGE_TIMEOUT."""
+        return [
+            flow
+            for flow, connection in self.connections.items()
+            if not connection.has_spoken and now - connection.accepted_at >= FIRST_MESSAGE_TIMEOUT
+        ]
--- a/eiderstep/node/calls.py
+++ b/eiderstep/node/calls.py
@@ -1,8 +1,8 @@
-"""The call table on the platform's wire: sans-I/O, no clock, no routing.
+"""The call table for the platform's protocol.  Performs no I/O, reads no clock, makes no routing decision.
 
-In: messages of callers and offices, links and connections that come and go, the list of offices, the time.
-Out: `out` (flow, bytes) and the effects that `flush` returns.  Each set-up is offered to the module, and each
-of its actions is carried out as it stands.  Flows are numbers that the host gives to connections.
+Input: messages from callers and offices, connections and links opened or lost, the list of offices, the time.
+Output: `outgoing` (flow, bytes) and the effects that `flush` returns.  Each set-up is offered to the routing
+module, and each action of the module is carried out.  A flow is the number that the host gives a connection.
 """
 
 from __future__ import annotations
@@ -19,562 +19,592 @@
 from eiderstep.isup import message as isup
 from eiderstep.isup.message import Message
 from eiderstep.node import mapping
-from eiderstep.node.owed import Owed
+from eiderstep.node.owed import PendingReleases
 from eiderstep.node.records import Attempt, AttemptState, Call, CallState
 
 MS = 1_000_000
 SECOND = 1000 * MS
-OPEN = (AttemptState.WAITING, AttemptState.OUT)
-ENDED_KEPT = 4096  # ends of calls that we do not know, remembered for an `at` that crosses them
-LONGEST_HOLDS = 30  # mean holding times; one call in ten million millions stands longer
+OPEN_STATES = (AttemptState.WAITING, AttemptState.SENT)
+MAX_REMEMBERED_ENDS = 4096  # releases of unknown calls, kept for an `at` report that arrives after one
+MAX_HOLDING_TIMES = 30  # in mean holding times; one call in 10^13 stands longer
 
 
-class Calls:
-    """One call server's calls.  `flush` hands what happened to the module and carries out what it says."""
+class CallTable:
+    """The calls of one call server.  `flush` passes events to the module and carries out its actions."""
 
     def __init__(
-        self, settings: io.Settings, names: Sequence[str], dial_time: int, seed: int,
-        mind: Mind | None = None, most: int = 20_000,
+        self, settings: io.Settings, class_names: Sequence[str], dial_timeout: int, seed: int,
+        make_decider: Mind | None = None, max_calls: int = 20_000,
     ) -> None:  # fmt: skip
-        """`names`: of the classes; `dial_time`: how long a set-up waits for a link; `most`: calls held."""
-        self.dial_time, self.most = dial_time, most
-        self.reader = mapping.Reader(settings, names)
-        self.mind = (mind or Controller)(settings, seed)
+        """`dial_timeout`: how long a set-up waits for a link; `max_calls`: limit of calls held."""
+        self.dial_timeout, self.max_calls = dial_timeout, max_calls
+        self.setup_reader = mapping.SetUpReader(settings, class_names)
+        self.mind = (make_decider or Controller)(settings, seed)
         self.calls: dict[str, Call] = {}
-        self.offices: set[str] = set()  # on the list, draining ones too
-        self.links: dict[str, list[int]] = {}  # flows by office
-        self.linked: dict[int, str] = {}  # office by flow
-        self.on_link: dict[int, dict[str, Attempt]] = {}  # set-ups out on a flow
-        self.doubted: set[int] = set()  # links under test, of which nothing was heard since
-        self.waiting: dict[str, list[Attempt]] = {}  # for a link, by office
-        self.callers: dict[int, str] = {}  # source by flow
-        self.asked: dict[int, set[str]] = {}  # calls that a caller's flow waits for
-        self.standing: dict[str, set[str]] = {}  # calls that stand, by office
-        self.stood: dict[int, set[str]] = {}  # calls that stand, by the caller's flow
-        # Danger: a group's state comes on each link to its office.  The copy on the second one is no news,
-        # costs a decision, and gives back circuits that the module took off for what it sent in between.
-        # The first word on a new link always counts: what was lost with the old one changed nothing there.
-        self.states: dict[str, tuple[bytes, int]] = {}  # the last by office, and the link that it came on
-        self.free: dict[str, int] = {}  # circuits to an office: as told last, less those sent for since
-        self.owed = Owed()
-        self.ends: OrderedDict[str, int] = OrderedDict()  # calls unknown here whose end was told, and cause
+        self.offices: set[str] = set()  # on the list, including draining ones
+        self.links_by_office: dict[str, list[int]] = {}  # flows, by office
+        self.office_by_link: dict[int, str] = {}  # by flow
+        self.on_link: dict[int, dict[str, Attempt]] = {}  # attempts sent, by flow and call reference
+        self.links_under_test: set[int] = (
+            set()
+        )  # flows of links that have sent nothing since they were tested
+        self.waiting_for_link: dict[str, list[Attempt]] = {}  # attempts without a link, by office
+        self.caller_sources: dict[int, str] = {}  # by flow
+        self.asked: dict[int, set[str]] = {}  # calls with an open set-up, by the caller's flow
+        self.standing: dict[str, set[str]] = {}  # standing calls, by office
+        self.standing_by_caller: dict[int, set[str]] = {}  # standing calls, by the caller's flow
+        # An office sends a group's state on each of its links.  A copy, if applied, would cost a decision and
+        # return circuits that the module has deducted for set-ups sent in between, so copies are ignored.
+        # The first state on a new link is always applied: set-ups lost with the old link seized no circuits.
+        self.group_states: dict[str, tuple[bytes, int]] = {}  # last state and its flow, by office
+        self.free_circuits: dict[str, int] = {}  # by office: last reported, less set-ups sent since
+        self.pending_releases = PendingReleases()
+        self.unknown_call_ends: OrderedDict[str, int] = OrderedDict()  # causes of releases of unknown calls
         self.timers = Timers()
         self.events: list[io.Event] = []
         self.effects: list[fx.Effect] = []
-        self.out: list[tuple[int, bytes]] = []
-        self.counts: dict[str, int] = {}
-        self.longest = LONGEST_HOLDS * max(c.mean_hold for c in settings.classes)
+        self.outgoing: list[tuple[int, bytes]] = []
+        self.counters: dict[str, int] = {}
+        self.max_standing_time = MAX_HOLDING_TIMES * max(c.mean_hold for c in settings.classes)
 
     # -- callers -------------------------------------------------------------------------------------------
 
-    def caller_came(self, flow: int, source: str) -> None:
-        """A connection from a caller.  What is owed to its source goes there once it has spoken."""
-        self.callers[flow], self.asked[flow] = source, set()
+    def caller_connected(self, flow: int, source: str) -> None:
+        """Register a caller's connection.  Releases pending for its source follow its first message."""
+        self.caller_sources[flow], self.asked[flow] = source, set()
 
-    def caller_spoke(self, now: int, flow: int, message: Message, waited: int = 0) -> bool:
-        """A message of a caller; `waited`: how long it may have lain unread (ns).
+    def handle_caller_message(self, now: int, flow: int, message: Message, unread_time: int = 0) -> bool:
+        """Handle a caller's message; return False if the connection has to be closed.
 
-        Tells whether the connection is of further use.
+        `unread_time`: how long the message may have lain unread (ns).
         """
-        self._pay(now, self.callers[flow], flow)
+        self._send_pending_releases(now, self.caller_sources[flow], flow)
         if message.kind == isup.IAM:
-            return self._set_up(now, flow, message, waited)
+            return self._handle_set_up(now, flow, message, unread_time)
         if message.kind == isup.REL:
-            self._caller_released(now, message)
+            self._handle_caller_release(now, message)
         elif message.kind == isup.TEST:
-            passed = {isup.CAUSE: b"\1"}
-            self.out.append((flow, Message(isup.TESTED, message.call, passed).encode()))
+            result = {isup.CAUSE: b"\1"}
+            self.outgoing.append((flow, Message(isup.TESTED, message.call, result).encode()))
         elif message.kind == isup.RLC:
-            self.owed.heard(flow, message.call)
+            self.pending_releases.confirm(flow, message.call)
         elif message.kind != isup.ACM:
             self._count("unfit from callers")
             return False
         return True
 
-    def caller_lost(self, now: int, flow: int) -> None:
-        """A caller's connection is gone: nobody waits for the set-ups open on it; what stands goes on."""
-        self.callers.pop(flow, None)
-        for name in self.asked.pop(flow, ()):
-            self._gone(now, self.calls[name])
-        self._written_off(now, flow)
-
-    def _set_up(self, now: int, flow: int, message: Message, waited: int) -> bool:
-        """Danger: a set-up under the id of a call that lives would end that one's attempts or take its
-        answer.  It is refused where another connection holds the id; where its own does, a refusal would be
-        read as the first one's, so the connection goes.  Hurts a caller that draws one id twice.
+    def caller_disconnected(self, now: int, flow: int) -> None:
+        """Withdraw the open set-ups of a lost caller connection; its standing calls continue."""
+        self.caller_sources.pop(flow, None)
+        for reference in self.asked.pop(flow, ()):
+            self._withdraw_set_up(now, self.calls[reference])
+        self._resend_lost_releases(now, flow)
+
+    def _handle_set_up(self, now: int, flow: int, message: Message, unread_time: int) -> bool:
+        """Offer a set-up to the module, or refuse it; return False if the connection has to be closed.
+
+        A set-up that reuses the reference of an existing call would end that call's attempt or receive its
+        answer.  It is refused if the call belongs to another connection.  On the same connection the caller
+        would take the refusal for that of the first set-up, so the connection is closed.  The cost: a caller
+        that uses a reference twice by mistake loses the connection.
         """
         try:
-            offer = self.reader.offer(now - waited, message)
-        except mapping.Unfit as unfit:
+            offer = self.setup_reader.parse(now - unread_time, message)
+        except mapping.InvalidSetUp as error:
             self._count("unfit set-ups")
-            self._log("info", "set-up not served", why=str(unfit), flow=flow)
+            self._log("info", "invalid set-up refused", why=str(error), flow=flow)
             if message.call in self.asked.get(flow, ()):
                 return False
-            self.out.append((flow, isup.release(message.call, isup.INVALID)))
+            self.outgoing.append((flow, isup.encode_release(message.call, isup.INVALID)))
             return True
-        held = self.calls.get(message.call)
-        if held is None and len(self.calls) >= self.most:
+        existing = self.calls.get(message.call)
+        if existing is None and len(self.calls) >= self.max_calls:
             self._count("calls at their limit")
-            self.out.append((flow, isup.release(message.call, isup.CONGESTION)))
+            self.outgoing.append((flow, isup.encode_release(message.call, isup.CONGESTION)))
             return True
         if isinstance(offer, str):
-            self._stands_already(now, flow, message, offer, held)
+            self._adopt_standing_call(now, flow, message, offer, existing)
             return True
-        if held is not None:
+        if existing is not None:
             self._count("ids used twice")
             if message.call in self.asked.get(flow, ()):
                 return False
-            self.out.append((flow, isup.release(message.call, isup.TEMPORARY)))
+            self.outgoing.append((flow, isup.encode_release(message.call, isup.TEMPORARY)))
             return True
         self.calls[message.call] = Call(message, offer, flow)
         self.asked[flow].add(message.call)
         self.events.append(offer)
         return True
 
-    def _stands_already(self, now: int, flow: int, message: Message, office: str, held: Call | None) -> None:
-        """`at`: a call that stands at an office, told to us who know nothing of it after a restart.
+    def _adopt_standing_call(
+        self, now: int, flow: int, message: Message, office: str, existing: Call | None
+    ) -> None:
+        """Adopt a call that a caller reports as standing at an office (`at`) after a restart of this process.
 
-        Danger: its end may have come first, on the link that we opened; then it would stand here for ever.
+        If the office's release arrived before the report, the call would never end here; so the releases of
+        unknown calls are remembered, and the reported call is released at once.
         """
-        if held is not None:
-            if held.state is CallState.STANDING and held.flow not in self.callers:
-                self._leave(held)
-                self._stand_on(held, flow)
-                held.source = self.callers[flow]
+        if existing is not None:
+            if existing.state is CallState.STANDING and existing.flow not in self.caller_sources:
+                self._detach_from_caller(existing)
+                self._attach_to_caller(existing, flow)
+                existing.source = self.caller_sources[flow]
             return
-        ended = self.ends.pop(message.call, None)
-        if ended is not None or office not in self.offices:
-            self.out.append((flow, isup.release(message.call, isup.TEMPORARY if ended is None else ended)))
-            if ended is not None:
-                self._to_office(now, office, message.call, ended)
+        end_cause = self.unknown_call_ends.pop(message.call, None)
+        if end_cause is not None or office not in self.offices:
+            self.outgoing.append(
+                (flow, isup.encode_release(message.call, isup.TEMPORARY if end_cause is None else end_cause))
+            )
+            if end_cause is not None:
+                self._release_to_office(now, office, message.call, end_cause)
             return
         call = self.calls[message.call] = Call(message, None, flow)
-        self._stands(now, call, office)
+        self._start_standing(now, call, office)
 
-    def _caller_released(self, now: int, message: Message) -> None:
-        """The set-up is given up, or the caller ends a call that stands; on whatever connection."""
+    def _handle_caller_release(self, now: int, message: Message) -> None:
+        """Withdraw a set-up or end a standing call; the caller may use any of its connections."""
         call = self.calls.get(message.call)
         if call is None:
             self._remember_end(message.call, message.cause or isup.NORMAL)
         elif call.state is CallState.OFFERED:
-            self._gone(now, call)
+            self._withdraw_set_up(now, call)
         else:
-            self._over(now, call, io.Outcome.CANCELLED, message.cause or isup.NORMAL, True, False)
+            self._end_standing_call(
+                now, call, io.Outcome.CANCELLED, message.cause or isup.NORMAL, True, False
+            )
 
-    def _gone(self, now: int, call: Call) -> None:
-        """The caller waits no more: no answer is owed, and what is out for it is given up."""
-        self.events.append(io.CallGone(call.name))
-        self._settled(now, call)
+    def _withdraw_set_up(self, now: int, call: Call) -> None:
+        """Tell the module that the caller has given up, and close the set-up without an answer."""
+        self.events.append(io.CallGone(call.reference))
+        self._close_set_up(now, call)
 
-    def _settled(self, now: int, call: Call) -> None:
-        """No answer is owed any more: the call goes, and what is out for it is given up."""
+    def _close_set_up(self, now: int, call: Call) -> None:
+        """Remove a call that is not standing, and give up its open attempt."""
         call.state = CallState.OVER
-        self.calls.pop(call.name, None)
-        waiting = self.asked.get(call.flow)
-        if waiting is not None:
-            waiting.discard(call.name)
-        if call.attempt is not None and call.attempt.state in OPEN:
-            self._give_up(now, call.attempt, io.Outcome.CANCELLED, True)
+        self.calls.pop(call.reference, None)
+        open_set_ups = self.asked.get(call.flow)
+        if open_set_ups is not None:
+            open_set_ups.discard(call.reference)
+        if call.attempt is not None and call.attempt.state in OPEN_STATES:
+            self._give_up_attempt(now, call.attempt, io.Outcome.CANCELLED, True)
 
     # -- offices -------------------------------------------------------------------------------------------
 
-    def news(self, kind: io.ListKind, entries: tuple[io.OfficeEntry, ...]) -> None:
-        """The list of offices has changed."""
+    def update_offices(self, kind: io.ListKind, entries: tuple[io.OfficeEntry, ...]) -> None:
+        """Apply a change of the list of offices."""
         if kind not in (io.ListKind.CHANGES, io.ListKind.FAILED):
             self.offices.clear()
         for entry in entries:
             if entry.state is io.OfficeState.GONE:
                 self.offices.discard(entry.office)
-                self.free.pop(entry.office, None)
-                self.states.pop(entry.office, None)
+                self.free_circuits.pop(entry.office, None)
+                self.group_states.pop(entry.office, None)
             else:
                 self.offices.add(entry.office)
         self.events.append(io.OfficeList(kind, entries))
 
     def link_up(self, now: int, office: str, flow: int) -> None:
-        """A link to an office stands: what waited for one goes out."""
-        self.linked[flow] = office
+        """Register a new link to an office and send the set-ups that wait for one."""
+        self.office_by_link[flow] = office
         self.on_link[flow] = {}
-        self.states.pop(office, None)
-        self.links.setdefault(office, []).append(flow)
-        self._pay(now, office, flow)
-        for attempt in self.waiting.pop(office, ()):
+        self.group_states.pop(office, None)
+        self.links_by_office.setdefault(office, []).append(flow)
+        self._send_pending_releases(now, office, flow)
+        for attempt in self.waiting_for_link.pop(office, ()):
             if attempt.state is AttemptState.WAITING:
-                self._transmit(now, attempt, flow)
+                self._send_set_up(now, attempt, flow)
 
     def link_lost(self, now: int, flow: int, silent: bool = False) -> None:
-        """A link is gone: each set-up on it ends once, and what stands goes on.
+        """End each set-up sent on a lost link once; standing calls continue.
 
-        `silent`: it was given up because nothing came, so nothing was heard of the set-ups either.
+        `silent`: the link timed out, so the set-ups end as unanswered rather than cut.
         """
-        office = self.linked.pop(flow, "")
-        self.doubted.discard(flow)
-        flows = self.links.get(office, [])
+        office = self.office_by_link.pop(flow, "")
+        self.links_under_test.discard(flow)
+        flows = self.links_by_office.get(office, [])
         if flow in flows:
             flows.remove(flow)
         if not flows:
-            self.links.pop(office, None)
+            self.links_by_office.pop(office, None)
         outcome = io.Outcome.NO_ANSWER if silent else io.Outcome.CUT
         for attempt in self.on_link.pop(flow, {}).values():
-            if attempt.state is AttemptState.OUT:
-                self._end(now, attempt, outcome, io.Cause.NONE, None, False)
-        self._written_off(now, flow)
+            if attempt.state is AttemptState.SENT:
+                self._end_attempt(now, attempt, outcome, io.Cause.NONE, None, False)
+        self._resend_lost_releases(now, flow)
 
-    def unreachable(self, now: int, office: str) -> None:
-        """No link to an office came up: what waited for one ends, and proves that it never ran."""
-        for attempt in self.waiting.pop(office, ()):
+    def office_unreachable(self, now: int, office: str) -> None:
+        """End the set-ups that wait for a link to an office, as no link came up; none of them was sent."""
+        for attempt in self.waiting_for_link.pop(office, ()):
             if attempt.state is AttemptState.WAITING:
-                self._end(now, attempt, io.Outcome.UNREACHABLE, io.Cause.NONE, None, False)
+                self._end_attempt(now, attempt, io.Outcome.UNREACHABLE, io.Cause.NONE, None, False)
 
-    def born(self, now: int, office: str, started: int) -> None:
-        """An office has started anew: what was set up there before is cut, what came since is not.
+    def office_restarted(self, now: int, office: str, started: int) -> None:
+        """Cut the calls that were set up at an office before it restarted at `started`.
 
-        Danger: the list tells of it later than its first calls; cut with the rest, good calls would be lost.
+        The list reports a restart only after the office may have taken new calls, which are therefore kept.
         """
-        for name in list(self.standing.get(office, ())):
-            attempt = self.calls[name].attempt
+        for reference in list(self.standing.get(office, ())):
+            attempt = self.calls[reference].attempt
             if attempt is not None and attempt.sent_at < started:
-                self._cut(now, name, isup.TEMPORARY)
+                self._cut_call(now, reference, isup.TEMPORARY)
 
-    def office_lost(self, now: int, office: str) -> None:
-        """An office is dead, or counts as dead, so long has it been silent: what stood there is cut."""
-        for name in list(self.standing.get(office, ())):
-            self._cut(now, name, isup.TEMPORARY)
+    def office_failed(self, now: int, office: str) -> None:
+        """Cut the calls standing at an office that is dead, or counts as dead after OFFICE_TIMEOUT."""
+        for reference in list(self.standing.get(office, ())):
+            self._cut_call(now, reference, isup.TEMPORARY)
 
-    def office_spoke(self, now: int, flow: int, message: Message) -> bool:
-        """A message of an office.  Tells whether the link is of further use."""
-        office = self.linked.get(flow)
+    def handle_office_message(self, now: int, flow: int, message: Message) -> bool:
+        """Handle an office's message; return False if the link has to be closed."""
+        office = self.office_by_link.get(flow)
         if office is None:
             return False
-        self.doubted.discard(flow)
+        self.links_under_test.discard(flow)
         kind, call = message.kind, self.calls.get(message.call)
         if kind == isup.STATE:
-            raw = message.parameters.get(isup.REPORT, b"")
-            told, by = self.states.get(office, (b"", flow))
-            if raw == told and by != flow:
+            report_bytes = message.parameters.get(isup.REPORT, b"")
+            last_report, last_flow = self.group_states.get(office, (b"", flow))
+            if report_bytes == last_report and last_flow != flow:
                 return True
-            report = mapping.report(message)
+            report = mapping.load_report(message)
             if report is None:
                 return False
-            self.states[office] = (raw, flow)
-            self._told(office, report)
+            self.group_states[office] = (report_bytes, flow)
+            self._update_free_circuits(office, report)
             self.events.append(io.OfficeHeard(office, True, True, 0, report))
         elif kind == isup.ANM:
-            return self._answer(now, flow, message)
+            return self._handle_answer(now, flow, message)
         elif kind == isup.REL:
             attempt = self.on_link[flow].get(message.call)
-            if attempt is not None and attempt.state is AttemptState.OUT:
-                return self._refused(now, attempt, message)
+            if attempt is not None and attempt.state is AttemptState.SENT:
+                return self._handle_refusal(now, attempt, message)
             if call is not None and call.state is CallState.STANDING and call.office == office:
                 cut = message.cause != isup.NORMAL
                 outcome = io.Outcome.CUT if cut else io.Outcome.RELEASED
-                report = mapping.report(message)
-                self._over(now, call, outcome, message.cause or isup.TEMPORARY, False, True, report)
+                report = mapping.load_report(message)
+                self._end_standing_call(
+                    now, call, outcome, message.cause or isup.TEMPORARY, False, True, report
+                )
             elif call is None:
                 self._remember_end(message.call, message.cause or isup.NORMAL)
-            self.out.append((flow, Message(isup.RLC, message.call).encode()))
+            self.outgoing.append((flow, Message(isup.RLC, message.call).encode()))
         elif kind in (isup.IAM, isup.TEST):
             self._count("unfit from offices")
             return False
         return True
 
-    def _answer(self, now: int, flow: int, message: Message) -> bool:
-        """Danger: a second answer, one of an id that nobody sent there, or one that crossed our giving up is
-        not this call's.  It is dropped; an office that answered what we gave up has our release on its way.
+    def _handle_answer(self, now: int, flow: int, message: Message) -> bool:
+        """Pass an answer on to the caller; return False if the link has to be closed.
+
+        A second answer, one with an unknown reference, and one that crossed our release of the attempt are
+        dropped.  In the last case the office has our release on its way.
         """
         attempt = self.on_link[flow].get(message.call)
-        if attempt is None or attempt.state is not AttemptState.OUT:
+        if attempt is None or attempt.state is not AttemptState.SENT:
             self._count("answers dropped")
             return True
-        if now >= attempt.until:
-            self._until(now, attempt)
+        if now >= attempt.deadline:
+            self._attempt_timed_out(now, attempt)
             return True
         description = message.parameters.get(isup.DESCRIPTION, b"")
-        if not mapping.readable(description):
+        if not mapping.is_valid_description(description):
             self._count("answers spoilt")
             return False
         call = attempt.call
         attempt.state = AttemptState.OVER
-        self._off_link(attempt)
-        self.events.append(io.CallStands(call.name, attempt.leg, attempt.office, now - attempt.sent_at))
-        report = mapping.report(message)
+        self._remove_from_link(attempt)
+        self.events.append(io.CallStands(call.reference, attempt.leg, attempt.office, now - attempt.sent_at))
+        report = mapping.load_report(message)
         if report is not None and isup.REPORT in message.parameters:
             self.events.append(io.OfficeHeard(attempt.office, False, True, now - attempt.sent_at, report))
-        passed = Message(isup.ANM, call.name, {isup.DESCRIPTION: description})
-        self.out.append((call.flow, passed.encode()))
-        self.asked[call.flow].discard(call.name)
-        self._stands(now, call, attempt.office)
+        answer = Message(isup.ANM, call.reference, {isup.DESCRIPTION: description})
+        self.outgoing.append((call.flow, answer.encode()))
+        self.asked[call.flow].discard(call.reference)
+        self._start_standing(now, call, attempt.office)
         return True
 
-    def _refused(self, now: int, attempt: Attempt, message: Message) -> bool:
-        report = mapping.report(message)
+    def _handle_refusal(self, now: int, attempt: Attempt, message: Message) -> bool:
+        report = mapping.load_report(message)
         if report is None or message.cause is None:
             self._count("releases spoilt")
             return False
-        outcome, cause = mapping.outcome(message)
-        self._end(now, attempt, outcome, cause, report, False)
+        outcome, cause = mapping.attempt_outcome(message)
+        self._end_attempt(now, attempt, outcome, cause, report, False)
         return True
 
-    # -- what stands ---------------------------------------------------------------------------------------
+    # -- standing calls ------------------------------------------------------------------------------------
 
-    def _stands(self, now: int, call: Call, office: str) -> None:
-        call.state, call.office, call.source = CallState.STANDING, office, self.callers[call.flow]
-        call.slim()
-        self.standing.setdefault(office, set()).add(call.name)
-        self._stand_on(call, call.flow)
-        call.guard = self.timers.at(now + self.longest, lambda at: self._too_long(at, call))
+    def _start_standing(self, now: int, call: Call, office: str) -> None:
+        call.state, call.office, call.source = CallState.STANDING, office, self.caller_sources[call.flow]
+        call.discard_parameters()
+        self.standing.setdefault(office, set()).add(call.reference)
+        self._attach_to_caller(call, call.flow)
+        call.limit_timer = self.timers.at(
+            now + self.max_standing_time, lambda at: self._end_overlong_call(at, call)
+        )
 
-    def _stand_on(self, call: Call, flow: int) -> None:
+    def _attach_to_caller(self, call: Call, flow: int) -> None:
         call.flow = flow
-        self.stood.setdefault(flow, set()).add(call.name)
+        self.standing_by_caller.setdefault(flow, set()).add(call.reference)
 
-    def _leave(self, call: Call) -> None:
-        names = self.stood.get(call.flow, set())
-        names.discard(call.name)
-        if not names:
-            self.stood.pop(call.flow, None)
+    def _detach_from_caller(self, call: Call) -> None:
+        references = self.standing_by_caller.get(call.flow, set())
+        references.discard(call.reference)
+        if not references:
+            self.standing_by_caller.pop(call.flow, None)
 
-    def calls_on(self, flow: int) -> int:
-        """How much hangs on a caller's connection: 2 for an open set-up, 1 for a call that stands, else 0."""
-        return 2 if self.asked.get(flow) else int(flow in self.stood)
+    def connection_weight(self, flow: int) -> int:
+        """Weight of a caller's connection: 2 with an open set-up, 1 with a standing call, else 0."""
+        return 2 if self.asked.get(flow) else int(flow in self.standing_by_caller)
 
-    def forget(self, now: int) -> None:
-        """Now and then: let go of what nobody came for."""
-        self.owed.forget(now)
+    def discard_expired(self, now: int) -> None:
+        """Drop pending releases past their time; to be called regularly."""
+        self.pending_releases.discard_expired(now)
 
-    def _too_long(self, now: int, call: Call) -> None:
-        """Danger: a call whose end was never told, or that an `at` made up, would be held for ever."""
+    def _end_overlong_call(self, now: int, call: Call) -> None:
+        """End a call whose release was lost or that a false `at` invented; it would be held for ever."""
         self._count("ended as too long")
-        self._cut(now, call.name, isup.RECOVERY)
+        self._cut_call(now, call.reference, isup.RECOVERY)
 
-    def _cut(self, now: int, name: str, cause: int) -> None:
-        """A call that stood is ended from here, towards both sides."""
-        self._over(now, self.calls[name], io.Outcome.CUT, cause, True, True)
+    def _cut_call(self, now: int, reference: str, cause: int) -> None:
+        """End a standing call from here, with a release to both sides."""
+        self._end_standing_call(now, self.calls[reference], io.Outcome.CUT, cause, True, True)
 
-    def _over(
+    def _end_standing_call(
         self, now: int, call: Call, outcome: io.Outcome, cause: int, to_office: bool, to_caller: bool,
         report: io.LoadReport | None = None,
     ) -> None:  # fmt: skip
-        """A call that stood is over; whoever does not know yet is told."""
+        """End a standing call, and release it towards the sides that do not know of the end yet."""
         call.state = CallState.OVER
-        del self.calls[call.name]
-        if call.guard is not None:
-            call.guard.call_off()
-        self._leave(call)
-        names = self.standing[call.office]
-        names.discard(call.name)
-        if not names:
+        del self.calls[call.reference]
+        if call.limit_timer is not None:
+            call.limit_timer.call_off()
+        self._detach_from_caller(call)
+        references = self.standing[call.office]
+        references.discard(call.reference)
+        if not references:
             del self.standing[call.office]
         if call.attempt is not None:
-            took, leg = now - call.attempt.sent_at, call.attempt.leg
+            duration, leg = now - call.attempt.sent_at, call.attempt.leg
             self.events.append(
                 io.AttemptEnded(
-                    call.name, leg, call.office, outcome, io.Cause.NONE, True, took, report=report
+                    call.reference, leg, call.office, outcome, io.Cause.NONE, True, duration, report=report
                 )
             )
         if to_office:
-            self._to_office(now, call.office, call.name, cause)
+            self._release_to_office(now, call.office, call.reference, cause)
         if to_caller:
-            self._to_caller(now, call, cause)
+            self._release_to_caller(now, call, cause)
 
-    def _to_office(self, now: int, office: str, name: str, cause: int) -> None:
-        self.owed.owe(now, office, name, isup.release(name, cause))
-        flows = self.links.get(office)
+    def _release_to_office(self, now: int, office: str, reference: str, cause: int) -> None:
+        self.pending_releases.add(now, office, reference, isup.encode_release(reference, cause))
+        flows = self.links_by_office.get(office)
         if flows:
-            self._pay(now, office, flows[-1])
+            self._send_pending_releases(now, office, flows[-1])
 
-    def _to_caller(self, now: int, call: Call, cause: int) -> None:
-        """The release goes where the set-up came from, else to its source, else where callers have calls
-        standing, else it waits for its source."""
-        self.owed.owe(now, call.source, call.name, isup.release(call.name, cause))
-        flow = call.flow if call.flow in self.callers else self._reach(call.source)
+    def _release_to_caller(self, now: int, call: Call, cause: int) -> None:
+        """Send a release on the connection that carries the call, else on another of its source, else on one
+        with standing calls; else keep it until its source connects."""
+        self.pending_releases.add(
+            now, call.source, call.reference, isup.encode_release(call.reference, cause)
+        )
+        flow = call.flow if call.flow in self.caller_sources else self._find_caller_connection(call.source)
         if flow is not None:
-            self._pay(now, call.source, flow)
-
-    def _reach(self, source: str) -> int | None:
-        """A caller's connection, the newest of that source, else the newest where a call stands."""
-        theirs = (flow for flow in reversed(self.callers) if self.callers[flow] == source)
-        others = (flow for flow in reversed(self.callers) if flow in self.stood)
-        return next(chain(theirs, others), None)
-
-    def _pay(self, now: int, whom: str, flow: int) -> None:
-        for name, data in self.owed.take(now, whom):
-            self.out.append((flow, data))
-            self.owed.sent(now, flow, whom, name, data)
-
-    def _written_off(self, now: int, flow: int) -> None:
-        """What was written on a lost connection and may not have arrived goes out on another."""
-        for whom in self.owed.lost(now, flow):
-            flows = self.links.get(whom)
-            other = flows[-1] if flows else self._reach(whom) if whom not in self.offices else None
-            if other is not None:
-                self._pay(now, whom, other)
-
-    def _remember_end(self, name: str, cause: int) -> None:
-        self.ends[name] = cause
-        self.ends.move_to_end(name)
-        if len(self.ends) > ENDED_KEPT:
-            self.ends.popitem(last=False)
+            self._send_pending_releases(now, call.source, flow)
+
+    def _find_caller_connection(self, source: str) -> int | None:
+        """The newest connection of a source, else the newest one with a standing call, or None."""
+        same_source = (flow for flow in reversed(self.caller_sources) if self.caller_sources[flow] == source)
+        with_calls = (flow for flow in reversed(self.caller_sources) if flow in self.standing_by_caller)
+        return next(chain(same_source, with_calls), None)
+
+    def _send_pending_releases(self, now: int, destination: str, flow: int) -> None:
+        for reference, data in self.pending_releases.take_pending(now, destination):
+            self.outgoing.append((flow, data))
+            self.pending_releases.mark_written(now, flow, destination, reference, data)
+
+    def _resend_lost_releases(self, now: int, flow: int) -> None:
+        """Send releases that may have been lost with a connection again on another one."""
+        for destination in self.pending_releases.connection_lost(now, flow):
+            flows = self.links_by_office.get(destination)
+            other_flow = (
+                flows[-1]
+                if flows
+                else self._find_caller_connection(destination)
+                if destination not in self.offices
+                else None
+            )
+            if other_flow is not None:
+                self._send_pending_releases(now, destination, other_flow)
+
+    def _remember_end(self, reference: str, cause: int) -> None:
+        self.unknown_call_ends[reference] = cause
+        self.unknown_call_ends.move_to_end(reference)
+        if len(self.unknown_call_ends) > MAX_REMEMBERED_ENDS:
+            self.unknown_call_ends.popitem(last=False)
 
     # -- attempts ------------------------------------------------------------------------------------------
 
-    def _transmit(self, now: int, attempt: Attempt, flow: int) -> None:
+    def _send_set_up(self, now: int, attempt: Attempt, flow: int) -> None:
         call = attempt.call
-        attempt.state, attempt.flow = AttemptState.OUT, flow
-        self.on_link[flow][call.name] = attempt
-        wait = max((attempt.until - now) // MS, 1)
-        self.out.append((flow, call.set_up(wait)))
+        attempt.state, attempt.flow = AttemptState.SENT, flow
+        self.on_link[flow][call.reference] = attempt
+        wait_ms = max((attempt.deadline - now) // MS, 1)
+        self.outgoing.append((flow, call.encode_set_up(wait_ms)))
 
-    def _off_link(self, attempt: Attempt) -> None:
+    def _remove_from_link(self, attempt: Attempt) -> None:
         if attempt.timer is not None:
             attempt.timer.call_off()
-        self.on_link.get(attempt.flow, {}).pop(attempt.call.name, None)
+        self.on_link.get(attempt.flow, {}).pop(attempt.call.reference, None)
 
-    def _until(self, now: int, attempt: Attempt) -> None:
-        """The attempt's time is up: it is given up, and the module told."""
-        if attempt.state in OPEN:
-            self._give_up(now, attempt, io.Outcome.NO_ANSWER, False)
+    def _attempt_timed_out(self, now: int, attempt: Attempt) -> None:
+        """Give up an attempt whose deadline has passed."""
+        if attempt.state in OPEN_STATES:
+            self._give_up_attempt(now, attempt, io.Outcome.NO_ANSWER, False)
 
-    def _give_up(self, now: int, attempt: Attempt, outcome: io.Outcome, settled: bool) -> None:
-        if attempt.state is AttemptState.OUT:
-            self.out.append((attempt.flow, isup.release(attempt.call.name, isup.NORMAL)))
-        self._end(now, attempt, outcome, io.Cause.NONE, None, settled)
+    def _give_up_attempt(self, now: int, attempt: Attempt, outcome: io.Outcome, settled: bool) -> None:
+        if attempt.state is AttemptState.SENT:
+            self.outgoing.append((attempt.flow, isup.encode_release(attempt.call.reference, isup.NORMAL)))
+        self._end_attempt(now, attempt, outcome, io.Cause.NONE, None, settled)
 
-    def _end(
+    def _end_attempt(
         self, now: int, attempt: Attempt, outcome: io.Outcome, cause: io.Cause,
         report: io.LoadReport | None, settled: bool,
     ) -> None:  # fmt: skip
-        """The one place where an attempt that never stood ends."""
-        self._off_link(attempt)
+        """End an attempt that was not answered.  Every such attempt ends here."""
+        self._remove_from_link(attempt)
         attempt.state = AttemptState.OVER
         call = attempt.call
         if call.attempt is attempt:
             call.attempt = None
         settled = settled or call.state is not CallState.OFFERED
-        took = now - attempt.sent_at
-        if attempt.flow < 0 and attempt.office in self.free:
-            self.free[attempt.office] += call.width
-            report = io.LoadReport(free=self.free[attempt.office])
-        self._told(attempt.office, report)
+        duration = now - attempt.sent_at
+        if attempt.flow < 0 and attempt.office in self.free_circuits:
+            self.free_circuits[attempt.office] += call.width
+            report = io.LoadReport(free=self.free_circuits[attempt.office])
+        self._update_free_circuits(attempt.office, report)
         self.events.append(
-            io.AttemptEnded(call.name, attempt.leg, attempt.office, outcome, cause, settled, took, 0, report)
+            io.AttemptEnded(
+                call.reference, attempt.leg, attempt.office, outcome, cause, settled, duration, 0, report
+            )
         )
 
-    def _told(self, office: str, report: io.LoadReport | None) -> None:
-        """Danger: the module takes the circuits of a set-up off the free ones as it sends it.  One that never
-        left changes nothing at the office, which then says nothing, and they would stay off until other calls
-        come or go.  So the figure is kept here too, and told again.  Hurts by what others seized meanwhile.
+    def _update_free_circuits(self, office: str, report: io.LoadReport | None) -> None:
+        """Record an office's free circuits, to be reported to the module again after a set-up was not sent.
+
+        The module deducts the circuits of a set-up when it sends it.  A set-up that never left changes
+        nothing at the office, so the office reports nothing, and the circuits would stay deducted until other
+        calls come or go.  The recorded count misses circuits that other call servers have seized meanwhile.
         """
         if report is not None and report.free is not None:
-            self.free[office] = report.free
+            self.free_circuits[office] = report.free
 
     # -- the module's actions ------------------------------------------------------------------------------
 
-    def due(self, now: int) -> None:
-        """Run what is due."""
+    def run_timers(self, now: int) -> None:
+        """Run the timers that have expired."""
         self.timers.run(now)
 
     def next_due(self) -> int | None:
-        """When `due` is wanted next (ns)."""
+        """When `run_timers` has to be called next (ns); None without timers."""
         return self.timers.next_due()
 
     def flush(self, now: int) -> list[fx.Effect]:
-        """Hand the events of this moment to the module, carry out its actions, until nothing is left."""
+        """Pass the collected events to the module and carry out its actions, until no events are left."""
         while self.events:
             events, self.events = self.events, []
             for action in self.mind.handle(now, events):
-                ACTIONS[type(action)](self, now, action)
+                ACTION_HANDLERS[type(action)](self, now, action)
         effects, self.effects = self.effects, []
         return effects
 
     def _send(self, now: int, action: io.Send) -> None:
         call = self.calls.get(action.call)
         if call is None or call.state is not CallState.OFFERED or call.attempt is not None:
-            # Its end stood in the batch that the module has just answered: nothing goes out.
-            leg = call.legs if call is not None else 0
-            report = io.LoadReport(free=self.free.get(action.office))
-            none, never = io.Cause.NONE, io.Outcome.NOT_SENT
+            # The call ended, or has an attempt, by the events that the module has just handled: send nothing.
+            leg = call.attempt_count if call is not None else 0
+            report = io.LoadReport(free=self.free_circuits.get(action.office))
+            none, not_sent = io.Cause.NONE, io.Outcome.NOT_SENT
             self.events.append(
-                io.AttemptEnded(action.call, leg, action.office, never, none, True, 0, 0, report)
+                io.AttemptEnded(action.call, leg, action.office, not_sent, none, True, 0, 0, report)
             )
             return
-        until = min(action.until or call.expires, call.expires)
-        attempt = call.attempt = Attempt(call, call.legs, action.office, now, until)
-        call.legs += 1
-        if action.office in self.free:
-            self.free[action.office] -= call.width
-        if until <= now or action.office not in self.offices:
-            outcome = io.Outcome.NO_ANSWER if until <= now else io.Outcome.UNREACHABLE
-            self._end(now, attempt, outcome, io.Cause.NONE, None, False)
+        deadline = min(action.until or call.expires, call.expires)
+        attempt = call.attempt = Attempt(call, call.attempt_count, action.office, now, deadline)
+        call.attempt_count += 1
+        if action.office in self.free_circuits:
+            self.free_circuits[action.office] -= call.width
+        if deadline <= now or action.office not in self.offices:
+            outcome = io.Outcome.NO_ANSWER if deadline <= now else io.Outcome.UNREACHABLE
+            self._end_attempt(now, attempt, outcome, io.Cause.NONE, None, False)
             return
-        attempt.timer = self.timers.at(until, lambda at: self._until(at, attempt))
-        flows = self.links.get(action.office)
+        attempt.timer = self.timers.at(deadline, lambda at: self._attempt_timed_out(at, attempt))
+        flows = self.links_by_office.get(action.office)
         if flows:
-            self._transmit(now, attempt, min(flows, key=self._burden))
+            self._send_set_up(now, attempt, min(flows, key=self._link_load))
             return
-        self.waiting.setdefault(action.office, []).append(attempt)
+        self.waiting_for_link.setdefault(action.office, []).append(attempt)
         self.effects.append(fx.Dial(action.office))
-        self.timers.at(now + self.dial_time, lambda at: self._never_dialled(at, attempt))
+        self.timers.at(now + self.dial_timeout, lambda at: self._link_wait_expired(at, attempt))
 
-    def _burden(self, flow: int) -> tuple[bool, int]:
-        return flow in self.doubted, len(self.on_link[flow])
+    def _link_load(self, flow: int) -> tuple[bool, int]:
+        return flow in self.links_under_test, len(self.on_link[flow])
 
-    def oldest(self, flow: int) -> int | None:
-        """When the set-up was sent that is out longest on a link (ns)."""
+    def oldest_set_up(self, flow: int) -> int | None:
+        """When the oldest unanswered set-up on a link was sent (ns); None if there is none."""
         return next((attempt.sent_at for attempt in self.on_link.get(flow, {}).values()), None)
 
-    def _never_dialled(self, now: int, attempt: Attempt) -> None:
+    def _link_wait_expired(self, now: int, attempt: Attempt) -> None:
         if attempt.state is AttemptState.WAITING:
-            self._end(now, attempt, io.Outcome.UNREACHABLE, io.Cause.NONE, None, False)
+            self._end_attempt(now, attempt, io.Outcome.UNREACHABLE, io.Cause.NONE, None, False)
 
     def _refuse(self, now: int, action: io.Refuse) -> None:
-        self._final(now, action.call, isup.CONGESTION, action.pause // MS)
+        self._reject_call(now, action.call, isup.CONGESTION, action.pause // MS)
 
     def _abandon(self, now: int, action: io.Abandon) -> None:
-        self._final(now, action.call, isup.UNSPECIFIED, 0)
+        self._reject_call(now, action.call, isup.UNSPECIFIED, 0)
 
-    def _final(self, now: int, name: str, cause: int, pause: int) -> None:
-        call = self.calls.get(name)
+    def _reject_call(self, now: int, reference: str, cause: int, pause: int) -> None:
+        call = self.calls.get(reference)
         if call is None or call.state is not CallState.OFFERED:
             return
-        if call.flow in self.callers:
-            self.out.append((call.flow, isup.release(name, cause, pause)))
-        self._settled(now, call)
+        if call.flow in self.caller_sources:
+            self.outgoing.append((call.flow, isup.encode_release(reference, cause, pause)))
+        self._close_set_up(now, call)
 
     def _cancel(self, now: int, action: io.Cancel) -> None:
         call = self.calls.get(action.call)
         attempt = call.attempt if call is not None else None
-        if attempt is not None and attempt.leg == action.leg and attempt.state in OPEN:
-            self._give_up(now, attempt, io.Outcome.CANCELLED, False)
+        if attempt is not None and attempt.leg == action.leg and attempt.state in OPEN_STATES:
+            self._give_up_attempt(now, attempt, io.Outcome.CANCELLED, False)
 
     def _set_timer(self, now: int, action: io.SetTimer) -> None:
         token = action.token
         self.timers.at(action.due, lambda at: self.events.append(io.TimerDue(token)))
 
     def _probe(self, now: int, action: io.Probe) -> None:
-        """The platform has no message for it: settings allow none, and none is answered."""
+        """Report a probe as unanswered: the platform has no message for it, and its settings allow none."""
         self.events.append(io.OfficeHeard(action.office, False, False, 0, io.LoadReport()))
 
     def _subscribe(self, now: int, action: io.Subscribe) -> None:
-        """The change log is followed all the time."""
+        """Do nothing: the change log is polled all the time."""
 
     def _note(self, now: int, action: io.Note) -> None:
         self._log("warning", action.text)
 
-    def _log(self, level: str, event: str, call: str = "", **more: Any) -> None:
-        self.effects.append(fx.Log(level, event, call, more))
+    def _log(self, level: str, event: str, call: str = "", **fields: Any) -> None:
+        self.effects.append(fx.Log(level, event, call, fields))
 
-    def _count(self, what: str) -> None:
-        self.counts[what] = self.counts.get(what, 0) + 1
+    def _count(self, counter: str) -> None:
+        self.counters[counter] = self.counters.get(counter, 0) + 1
 
 
-ACTIONS: dict[type, Callable[[Calls, int, Any], None]] = {
-    io.Send: Calls._send,
-    io.Refuse: Calls._refuse,
-    io.Abandon: Calls._abandon,
-    io.Cancel: Calls._cancel,
-    io.SetTimer: Calls._set_timer,
-    io.Probe: Calls._probe,
-    io.Subscribe: Calls._subscribe,
-    io.Note: Calls._note,
+ACTION_HANDLERS: dict[type, Callable[[CallTable, int, Any], None]] = {
+    io.Send: CallTable._send,
+    io.Refuse: CallTable._refuse,
+    io.Abandon: CallTable._abandon,
+    io.Cancel: CallTable._cancel,
+    io.SetTimer: CallTable._set_timer,
+    io.Probe: CallTable._probe,
+    io.Subscribe: CallTable._subscribe,
+    io.Note: CallTable._note,
 }
--- a/eiderstep/node/changelog.py
+++ b/eiderstep/node/changelog.py
@@ -1,4 +1,4 @@
-"""The change log followed: numbered changes of the list of offices, asked for by long polls."""
+"""Client of the change log: fetches numbered changes of the list of offices by long polls."""
 
 from __future__ import annotations
 
@@ -12,75 +12,83 @@
 from eiderstep.registry.http import Failed, Link, Times
 
 SECOND = 1_000_000_000
-WAIT = 1.0  # seconds that the change log may hold a poll; what a silent one hides counts as told 2 s after it
-SPARE = 0.5  # seconds beyond that in which the answer has to be whole
-AGAIN = 0.1, 0.5  # seconds before the next poll after one that failed: first, at most
-LARGEST = 1 << 20  # bytes of an answer
-Told = Callable[[io.ListKind, tuple[io.OfficeEntry, ...], dict[str, str]], None]
+# Seconds that the change log may hold a poll.  A drain that it fails to report counts as reported 2 s later.
+POLL_TIMEOUT = 1.0
+ANSWER_MARGIN = 0.5  # further seconds within which the answer has to be complete
+RETRY_DELAYS = 0.1, 0.5  # seconds before the poll after a failed one: initial and maximum
+MAX_ANSWER_SIZE = 1 << 20  # bytes
+UpdateCallback = Callable[[io.ListKind, tuple[io.OfficeEntry, ...], dict[str, str]], None]
 
 
-class Book:
-    """What the events say, without I/O: each is taken once, in the order of its number."""
+class ChangeReader:
+    """Applies each event of the change log once, in the order of sequence numbers.  Performs no I/O."""
 
-    def __init__(self, tell: Told) -> None:
-        self.tell = tell
-        self.seq = 0
+    def __init__(self, on_update: UpdateCallback) -> None:
+        self.on_update = on_update
+        self.last_sequence = 0
 
-    def take(self, answer: Any, first: bool = False) -> None:
-        """An answer of the change log, or `known` of the configuration (`first`).  Raises mapping.BadList.
+    def apply_answer(self, answer: Any, initial: bool = False) -> None:
+        """Apply an answer of the change log, or `known` of the configuration (`initial`).
 
-        All of it is read before any of it counts.
+        The whole answer is parsed before any of it is applied.  Raises mapping.InvalidOfficeList.
         """
         results = answer.get("results") if isinstance(answer, dict) else None
         if not isinstance(results, list):
-            raise mapping.BadList("no results")
-        news = []
+            raise mapping.InvalidOfficeList("answer without a list of results")
+        events = []
         for row in results:
             result = row if isinstance(row, dict) else {}
-            seq, fleet = result.get("seq"), result.get("fleet")
+            sequence, fleet = result.get("seq"), result.get("fleet")
             hosts = fleet.get("hosts") if isinstance(fleet, dict) else None
-            if not isinstance(seq, int) or not isinstance(fleet, dict) or not isinstance(hosts, list):
-                raise mapping.BadList("a result without seq, fleet or hosts")
-            if seq > self.seq:
-                read = [mapping.entry(host) for host in hosts]
-                news.append((seq, bool(fleet.get("whole")), read))
-        for seq, whole, read in sorted(news, key=lambda item: item[0]):
-            kind = io.ListKind.COMPLETE if whole else io.ListKind.CHANGES
-            if whole and first:
+            if not isinstance(sequence, int) or not isinstance(fleet, dict) or not isinstance(hosts, list):
+                raise mapping.InvalidOfficeList("a result without seq, fleet or hosts")
+            if sequence > self.last_sequence:
+                entries = [mapping.parse_office_entry(host) for host in hosts]
+                events.append((sequence, bool(fleet.get("whole")), entries))
+        for sequence, complete, entries in sorted(events, key=lambda item: item[0]):
+            kind = io.ListKind.COMPLETE if complete else io.ListKind.CHANGES
+            if complete and initial:
                 kind = io.ListKind.REMEMBERED
-            self.seq = seq
-            self.tell(kind, tuple(e for e, _ in read), {e.office: dial for e, dial in read})
+            self.last_sequence = sequence
+            self.on_update(
+                kind,
+                tuple(entry for entry, _ in entries),
+                {entry.office: address for entry, address in entries},
+            )
 
 
-class _Body:
+class _BodyBuffer:
+    """Collects an answer's body.  Raises ValueError if it exceeds MAX_ANSWER_SIZE."""
+
     def __init__(self) -> None:
         self.data = b""
 
-    def opened(self, status: int, headers: dict[str, str]) -> _Body:
+    def open_body(self, status: int, headers: dict[str, str]) -> _BodyBuffer:
         return self
 
     def feed(self, data: bytes) -> None:
         self.data += data
-        if len(self.data) > LARGEST:
-            raise ValueError(f"an answer of over {LARGEST} bytes")
+        if len(self.data) > MAX_ANSWER_SIZE:
+            raise ValueError(f"answer exceeds {MAX_ANSWER_SIZE} bytes")
 
 
-class ChangeLog:
-    """Polls one address until it is told another.
+class ChangeLogPoller:
+    """Polls the change log at one address until it is started with another.
 
-    Danger: a change log that breaks off or falls silent hides drains; what it would have told counts as told
-    soon.  So a poll is short, has to be whole soon after, and the next one follows at once.
+    A change log that breaks off or stops answering hides drains, and the platform soon counts them as
+    reported all the same.  So polls are short, an answer has to be complete soon after, and the next poll
+    follows at once.
     """
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, book: Book, address: str, log: Callable[..., None]
+        self, loop: asyncio.AbstractEventLoop, reader: ChangeReader, address: str, log: Callable[..., None]
     ) -> None:
-        self.loop, self.book, self.address, self.log = loop, book, address, log
+        self.loop, self.reader, self.address, self.log = loop, reader, address, log
         self.link: Link | None = None
         self.task: asyncio.Task[None] | None = None
 
-    def follow(self, address: str = "") -> None:
-        """Poll from now on, at another address if one is given."""
+    def start(self, address: str = "") -> None:
+        """Start polling, at `address` if one is given; a poll in progress is cancelled."""
         self.address = address or self.address
         self.stop()
         self.task = self.loop.create_task(self._poll())
@@ -92,21 +100,25 @@
             self.link.close()
 
     async def _poll(self) -> None:
-        self.link = Link(self.loop, self.address, Times(SPARE, WAIT + SPARE, WAIT + SPARE))
-        pause = AGAIN[0]
+        self.link = Link(
+            self.loop,
+            self.address,
+            Times(ANSWER_MARGIN, POLL_TIMEOUT + ANSWER_MARGIN, POLL_TIMEOUT + ANSWER_MARGIN),
+        )
+        delay = RETRY_DELAYS[0]
         while True:
-            body = _Body()
-            path = f"/changes?since={self.book.seq}&timeout={int(WAIT * 1000)}"
+            body = _BodyBuffer()
+            path = f"/changes?since={self.reader.last_sequence}&timeout={int(POLL_TIMEOUT * 1000)}"
             try:
-                answer = await self.link.ask("GET", path, {}, open_sink=body.opened)
+                answer = await self.link.ask("GET", path, {}, open_sink=body.open_body)
                 if answer.status != 200:
                     raise Failed(f"status {answer.status}")
-                self.book.take(json.loads(body.data))
-                pause = AGAIN[0]
+                self.reader.apply_answer(json.loads(body.data))
+                delay = RETRY_DELAYS[0]
                 continue
-            except (Failed, ValueError, RecursionError) as problem:
-                self.log("warning", "change log failed", why=str(problem), address=self.address)
+            except (Failed, ValueError, RecursionError) as error:
+                self.log("warning", "change log failed", why=str(error), address=self.address)
             if self.link.wire is not None:
-                self.link.wire.fail("not understood")  # a broken answer may go on: nothing more is read of it
-            await asyncio.sleep(pause)
-            pause = min(2 * pause, AGAIN[1])
+                self.link.wire.fail("not understood")  # more of an invalid answer may follow: stop reading it
+            await asyncio.sleep(delay)
+            delay = min(2 * delay, RETRY_DELAYS[1])
--- a/eiderstep/node/links.py
+++ b/eiderstep/node/links.py
@@ -1,4 +1,4 @@
-"""Links to offices: a few to each, kept up while an office is wanted, given up when one says nothing."""
+"""Links to offices: keeps a few open to each listed office, tests them, closes those that time out."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from eiderstep.isup.message import CAUSE, TEST, Message
-from eiderstep.node.config import ConfigError, address
+from eiderstep.node.config import ConfigError, parse_address
 from eiderstep.node.wires import Wire
 
 if TYPE_CHECKING:
@@ -15,166 +15,177 @@
 
 SECOND = 1_000_000_000
 MS = 1_000_000
-EACH = 2  # links to one office: what one spoilt answer ends, and descriptors, are both few
-AGAIN = 0.1, 1.0  # seconds between two dials: first, at most
-QUIET = 1 * SECOND  # after which a link is tested
-SILENT = 5 * SECOND // 2  # after which, tested in vain, it is given up
-SUSPECT = 100 * MS  # a set-up out so long, and nothing on its link: that link is tested
-VERDICT = 200 * MS  # heard on another link of that office so long after the test: the silent one is dead
-DEAD = 13 * SECOND // 2  # after which what stands at an office that cannot be dialled counts as cut
-TEST_CALL = f"{1:016x}"
+LINKS_PER_OFFICE = 2  # few, to save descriptors; two, so that one invalid answer does not end all set-ups
+RECONNECT_DELAYS = 0.1, 1.0  # seconds between connection attempts: initial and maximum
+IDLE_TEST_DELAY = 1 * SECOND  # ns without data after which a link is tested
+LINK_TIMEOUT = 5 * SECOND // 2  # ns without data after which a tested link is closed
+SET_UP_TEST_DELAY = 100 * MS  # ns without data, with a set-up unanswered, after which a link is tested
+LINK_TEST_TIMEOUT = (
+    200 * MS
+)  # ns after an unanswered test; data on another link later than this proves it dead
+OFFICE_TIMEOUT = 13 * SECOND // 2  # ns without data or link after which calls standing at an office are cut
+TEST_REFERENCE = f"{1:016x}"
 
 
 class Peer:
-    """One office: its address and what we have of it."""
-
-    def __init__(self, office: str, dial: str, started: int) -> None:
-        self.office, self.dial, self.started = office, dial, started
-        self.wires: list[Wire] = []
-        self.tasks: list[asyncio.Task[None]] = []
-        self.wanted = asyncio.Event()  # set: dial now
-        self.heard_at = 0
+    """One office: its address, its links and the tasks that keep them open."""
+
+    def __init__(self, office: str, address: str, started: int) -> None:
+        self.office, self.address, self.started = office, address, started
+        self.connections: list[Wire] = []
+        self.dial_tasks: list[asyncio.Task[None]] = []
+        self.dial_requested = asyncio.Event()  # set when a link is needed at once
+        self.last_received_at = 0
         self.gone = False
 
 
 class Links:
-    """All links of one call server."""
+    """All links of one call server to offices."""
 
     def __init__(self, node: Node) -> None:
         self.node = node
         self.peers: dict[str, Peer] = {}
 
-    def told(self, office: str, dial: str, started: int, gone: bool) -> None:
-        """The list names an office.  One that has moved is another: its links go.  One that has started anew
-        has reset them itself, if its machine did not vanish, and then they are silent.
+    def update_office(self, office: str, address: str, started: int, gone: bool) -> None:
+        """Apply an entry of the list of offices.
 
-        Danger: a new office may have the address of one that is gone; dialled under the old name, it would be
-        sent what it must not be.  So a gone one is never dialled again.
+        If the address has changed, the links to the old one are closed.  An office that has restarted has
+        reset its links itself, unless its machine disappeared; then they fall silent and the link test closes
+        them.
+
+        A new office may take over the address of one that is gone; dialled under the old name, it would
+        receive the old office's set-ups.  So an office that is gone is never dialled again.
         """
         peer = self.peers.get(office)
-        if peer is not None and dial != peer.dial and not gone:
-            self._forget(peer)
+        if peer is not None and address != peer.address and not gone:
+            self._remove(peer)
             peer = None
         if peer is not None and started > peer.started:
             peer.started = started
-            self.node.calls.born(self.node.now(), office, started)
+            self.node.calls.office_restarted(self.node.now(), office, started)
         if gone:
             if peer is not None:
                 peer.gone = True
-                self._part(peer)
+                self._remove_if_idle(peer)
             return
         if peer is None:
-            peer = self.peers[office] = Peer(office, dial, started)
-            peer.heard_at = self.node.now()
-            peer.tasks = [self.node.loop.create_task(self._keep(peer)) for _ in range(EACH)]
+            peer = self.peers[office] = Peer(office, address, started)
+            peer.last_received_at = self.node.now()
+            peer.dial_tasks = [
+                self.node.loop.create_task(self._maintain_link(peer)) for _ in range(LINKS_PER_OFFICE)
+            ]
         peer.gone = False
 
-    def only(self, offices: set[str]) -> None:
-        """The whole list: who is not on it is gone."""
-        for office in [o for o in self.peers if o not in offices]:
-            self.told(office, "", 0, True)
+    def remove_unlisted(self, offices: set[str]) -> None:
+        """Treat every office that is missing from the complete list as gone."""
+        for office in [name for name in self.peers if name not in offices]:
+            self.update_office(office, "", 0, True)
 
-    def want(self, office: str) -> None:
-        """A set-up waits for a link."""
+    def request_link(self, office: str) -> None:
+        """Dial an office now, because a set-up waits for a link to it."""
         peer = self.peers.get(office)
         if peer is not None:
-            peer.wanted.set()
+            peer.dial_requested.set()
 
-    def up(self, wire: Wire) -> bool:
-        """A link stands; whether it is still wanted."""
-        peer = self.peers.get(wire.office)
-        if peer is None or peer.gone or len(peer.wires) >= EACH:
+    def link_up(self, connection: Wire) -> bool:
+        """Add a new link; return whether it is still needed."""
+        peer = self.peers.get(connection.office)
+        if peer is None or peer.gone or len(peer.connections) >= LINKS_PER_OFFICE:
             return False
-        peer.wires.append(wire)
-        peer.heard_at = wire.heard_at
+        peer.connections.append(connection)
+        peer.last_received_at = connection.last_received_at
         return True
 
-    def lost(self, wire: Wire) -> None:
-        peer = self.peers.get(wire.office)
-        if peer is None or wire not in peer.wires:
+    def link_lost(self, connection: Wire) -> None:
+        peer = self.peers.get(connection.office)
+        if peer is None or connection not in peer.connections:
             return
-        peer.wires.remove(wire)
-        if peer.gone and not peer.wires:
-            self._part(peer)
+        peer.connections.remove(connection)
+        if peer.gone and not peer.connections:
+            self._remove_if_idle(peer)
 
-    def watch(self, now: int) -> None:
-        """Test what is quiet, give up what is silent, part from who is gone."""
+    def check_links(self, now: int) -> None:
+        """Test links without data, close those that time out, and remove offices that are gone and idle."""
         for peer in list(self.peers.values()):
-            for wire in list(peer.wires):
-                quiet = now - wire.heard_at
-                tested = wire.tested_at > wire.heard_at
-                if tested and (quiet >= SILENT or self._outlived(peer, wire)):
+            for connection in list(peer.connections):
+                silence = now - connection.last_received_at
+                tested = connection.tested_at > connection.last_received_at
+                if tested and (silence >= LINK_TIMEOUT or self._answered_on_other_link(peer, connection)):
                     self.node.log("warning", "link silent", office=peer.office)
-                    self.node.calls.link_lost(now, wire.flow, True)
-                    wire.abort()
-                elif not tested and (quiet >= QUIET or self._suspect(now, wire)):
-                    wire.tested_at = now
-                    self.node.calls.doubted.add(wire.flow)
-                    wire.send(Message(TEST, TEST_CALL, {CAUSE: b"\0"}).encode())
-                peer.heard_at = max(peer.heard_at, wire.heard_at)
-            if not peer.wires and now - peer.heard_at >= DEAD:
-                self.node.calls.office_lost(now, peer.office)
+                    self.node.calls.link_lost(now, connection.flow, True)
+                    connection.abort()
+                elif not tested and (silence >= IDLE_TEST_DELAY or self._set_up_overdue(now, connection)):
+                    connection.tested_at = now
+                    self.node.calls.links_under_test.add(connection.flow)
+                    connection.send(Message(TEST, TEST_REFERENCE, {CAUSE: b"\0"}).encode())
+                peer.last_received_at = max(peer.last_received_at, connection.last_received_at)
+            if not peer.connections and now - peer.last_received_at >= OFFICE_TIMEOUT:
+                self.node.calls.office_failed(now, peer.office)
             if peer.gone:
-                self._part(peer)
+                self._remove_if_idle(peer)
 
-    def _suspect(self, now: int, wire: Wire) -> bool:
-        oldest = self.node.calls.oldest(wire.flow)
-        return oldest is not None and now - max(oldest, wire.heard_at) >= SUSPECT
+    def _set_up_overdue(self, now: int, connection: Wire) -> bool:
+        oldest = self.node.calls.oldest_set_up(connection.flow)
+        return oldest is not None and now - max(oldest, connection.last_received_at) >= SET_UP_TEST_DELAY
 
     @staticmethod
-    def _outlived(peer: Peer, wire: Wire) -> bool:
-        """Whether the office has spoken on another link long after this one's test.
+    def _answered_on_other_link(peer: Peer, connection: Wire) -> bool:
+        """Whether the office has sent data on another link LINK_TEST_TIMEOUT after this one was tested.
 
-        Danger: a link that is open and dead keeps the set-ups on it, and the module takes their age for a
-        wait of that office, from which it then sheds the calls of all.  Hurts by a link dialled anew where
-        tests are passed late.  What we read late after a stall of our own is no proof: it came on all links.
+        A connection that is open but dead holds on to its set-ups.  The module takes their age for a wait at
+        that office and sheds calls for it.  The guard costs a reconnect where an office answers tests late.
+        A stall of this process gives no false result: it delays the data of all links alike.
         """
-        return any(other.heard_at - wire.tested_at >= VERDICT for other in peer.wires)
+        return any(
+            other.last_received_at - connection.tested_at >= LINK_TEST_TIMEOUT for other in peer.connections
+        )
 
     def close(self) -> None:
         for peer in self.peers.values():
-            for task in peer.tasks:
+            for task in peer.dial_tasks:
                 task.cancel()
 
-    def _part(self, peer: Peer) -> None:
-        """A gone office keeps its links until nothing stands there, or they break."""
+    def _remove_if_idle(self, peer: Peer) -> None:
+        """Remove an office that is gone once it has no calls and no set-ups, or no links."""
         calls = self.node.calls
-        busy = calls.standing.get(peer.office) or any(calls.on_link.get(w.flow) for w in peer.wires)
-        if not busy or not peer.wires:
-            self._forget(peer)
+        in_use = calls.standing.get(peer.office) or any(
+            calls.on_link.get(connection.flow) for connection in peer.connections
+        )
+        if not in_use or not peer.connections:
+            self._remove(peer)
 
-    def _forget(self, peer: Peer) -> None:
+    def _remove(self, peer: Peer) -> None:
         self.peers.pop(peer.office, None)
-        for task in peer.tasks:
+        for task in peer.dial_tasks:
             task.cancel()
         now = self.node.now()
-        for wire in list(peer.wires):
-            self.node.calls.link_lost(now, wire.flow)
-            wire.close()
-        self.node.calls.unreachable(now, peer.office)
-        self.node.calls.office_lost(now, peer.office)
-
-    async def _keep(self, peer: Peer) -> None:
-        """Keep one link up."""
-        node, pause = self.node, AGAIN[0]
+        for connection in list(peer.connections):
+            self.node.calls.link_lost(now, connection.flow)
+            connection.close()
+        self.node.calls.office_unreachable(now, peer.office)
+        self.node.calls.office_failed(now, peer.office)
+
+    async def _maintain_link(self, peer: Peer) -> None:
+        """Keep one link open: dial again whenever it is lost."""
+        node, delay = self.node, RECONNECT_DELAYS[0]
         try:
-            host, port = address(peer.dial, "dial")
-        except ConfigError as problem:
-            node.log("error", "office without an address", office=peer.office, why=str(problem))
+            host, port = parse_address(peer.address, "dial")
+        except ConfigError as error:
+            node.log("error", "office address invalid", office=peer.office, why=str(error))
             return
         while not peer.gone:
             try:
-                dial = node.loop.create_connection(partial(Wire, node, peer.office), host, port)
-                _, wire = await asyncio.wait_for(dial, node.config.dial_time / SECOND)
-                pause = AGAIN[0]
-                assert wire.over is not None
-                await wire.over
-                continue  # at once: the end of what stands may come on the next link
-            except (TimeoutError, OSError) as problem:
-                refused = isinstance(problem, ConnectionRefusedError)
-                node.unreached(peer, refused, str(problem) or "no answer")
-            peer.wanted.clear()
+                connecting = node.loop.create_connection(partial(Wire, node, peer.office), host, port)
+                _, connection = await asyncio.wait_for(connecting, node.config.dial_timeout / SECOND)
+                delay = RECONNECT_DELAYS[0]
+                assert connection.closed is not None
+                await connection.closed
+                continue  # without delay: releases of standing calls may come on the next link
+            except (TimeoutError, OSError) as error:
+                refused = isinstance(error, ConnectionRefusedError)
+                node.connect_failed(peer, refused, str(error) or "no answer")
+            peer.dial_requested.clear()
             try:
-                await asyncio.wait_for(peer.wanted.wait(), pause * (1 + 0.25 * node.chance.random()))
+                await asyncio.wait_for(peer.dial_requested.wait(), delay * (1 + 0.25 * node.random.random()))
             except TimeoutError:
-                pause = min(2 * pause, AGAIN[1])
+                delay = min(2 * delay, RECONNECT_DELAYS[1])
--- a/eiderstep/node/mapping.py
+++ b/eiderstep/node/mapping.py
@@ -1,4 +1,4 @@
-"""What the platform's words mean to the module: set-ups, ends and notes, reports, the list of offices."""
+"""Translates the platform's messages for the routing module: set-ups, causes, load reports, office lists."""
 
 from __future__ import annotations
 
@@ -7,130 +7,131 @@
 
 from eiderstep import interface as io
 from eiderstep.isup import message as isup
-from eiderstep.isup.message import Message, figures
+from eiderstep.isup.message import Message, parse_pairs
 from eiderstep.reading import read_report
 
 MS = 1_000_000
-LONGEST_NUMBER = 64  # characters of a number called
-LONGEST_WAIT = 4  # times the longest give-up time of a class that a caller may say to wait
+MAX_NUMBER_LENGTH = 64  # characters of a called number or an office name
+MAX_WAIT_FACTOR = 4  # limit of a caller's wait, as a multiple of the longest give-up time of a class
 
-# The platform's names of a report's figures, and those of the settings.
+# Field names of the platform's load reports, and the names that `read_report` expects.
 REPORT_NAMES = {
     "x0": "idle", "x1": "circuits", "queue": "waiting", "qps": "max_rate", "inflight": "active",
     "latency_ms": "avg_ms", "util": "cpu", "eps": "reduce",
 }  # fmt: skip
-ENDS = {
+OUTCOME_BY_CAUSE = {
     isup.NO_CIRCUIT: io.Outcome.TURNED_AWAY,
     isup.BUSY: io.Outcome.FAULT,
     isup.PREEMPTED: io.Outcome.FAULT,
     isup.RECOVERY: io.Outcome.NOT_SENT,
 }
-NOTES = {
+CAUSE_BY_DIAGNOSTIC = {
     "atb": io.Cause.NO_CIRCUIT,
     "rtb": io.Cause.TANDEM_REFUSED,
     "racc": io.Cause.BEYOND_FULL,
     "acc": io.Cause.PROCESSOR_FULL,
     "sub": io.Cause.NUMBER_BUSY,
 }
-STATES = {"ready": io.OfficeState.UP, "draining": io.OfficeState.DRAINING, "gone": io.OfficeState.GONE}
+OFFICE_STATES = {"ready": io.OfficeState.UP, "draining": io.OfficeState.DRAINING, "gone": io.OfficeState.GONE}
 
 
-class Unfit(Exception):
-    """A set-up that cannot be served as it stands."""
+class InvalidSetUp(Exception):
+    """A set-up with a missing or invalid parameter."""
 
 
-class Reader:
-    """Reads set-ups under the settings."""
+class SetUpReader:
+    """Parses set-ups and checks them against the settings of the call classes."""
 
-    def __init__(self, settings: io.Settings, names: Sequence[str]) -> None:
-        self.classes = {name: number for number, name in enumerate(names)}
-        self.widths = [c.width for c in settings.classes]
-        self.longest = LONGEST_WAIT * max(c.give_up for c in settings.classes) // MS
+    def __init__(self, settings: io.Settings, class_names: Sequence[str]) -> None:
+        self.class_numbers = {name: number for number, name in enumerate(class_names)}
+        self.class_widths = [cls.width for cls in settings.classes]
+        self.max_wait_ms = MAX_WAIT_FACTOR * max(cls.give_up for cls in settings.classes) // MS
 
-    def offer(self, sent: int, message: Message) -> io.CallOffered | str:
-        """The offer to the module, or the office where the call stands already.  Raises Unfit.
+    def parse(self, received_at: int, message: Message) -> io.CallOffered | str:
+        """Return the offer to the module, or the office where the call already stands.
 
-        `sent`: when its last byte had come, at the latest (ns).
+        `received_at`: the earliest time at which the message can have arrived (ns), from which its wait
+        counts.  Raises InvalidSetUp.
         """
-        text = message.text(isup.FIGURES) or ""
-        said = figures(text)
+        text = message.text_parameter(isup.FIGURES) or ""
+        pairs = parse_pairs(text)
         if message.call == isup.NO_CALL:
-            raise Unfit("call reference 0")
-        if said is None:
-            at = self._at(text)
-            if at:
-                return at
-            raise Unfit("parameter 185 is no list of figures such as dest:2;width:1")
-        name, wait = message.text(isup.CLASS), message.number(isup.PATIENCE)
-        number = message.text(isup.NUMBER)
-        cls = self.classes.get(name or "")
-        if cls is None:
-            raise Unfit(f"parameter 180: no class {(name or '')[:40]!r}")
-        if wait is None or not 0 < wait <= self.longest:
-            raise Unfit(f"parameter 181; allowed: 1 to {self.longest} ms")
-        if not number or len(number) > LONGEST_NUMBER or " " in number:
-            raise Unfit(f"parameter 184; allowed: 1 to {LONGEST_NUMBER} characters without blanks")
-        dest, width = said.get("dest", -1.0), said.get("width", 1.0)
+            raise InvalidSetUp("call reference 0")
+        if pairs is None:
+            office = self._standing_at(text)
+            if office:
+                return office
+            raise InvalidSetUp("parameter 185 is malformed; allowed: name:value pairs such as dest:2;width:1")
+        name, wait_ms = message.text_parameter(isup.CLASS), message.decimal_parameter(isup.PATIENCE)
+        number = message.text_parameter(isup.NUMBER)
+        class_no = self.class_numbers.get(name or "")
+        if class_no is None:
+            raise InvalidSetUp(f"parameter 180: unknown class {(name or '')[:40]!r}")
+        if wait_ms is None or not 0 < wait_ms <= self.max_wait_ms:
+            raise InvalidSetUp(f"parameter 181; allowed: 1 to {self.max_wait_ms} ms")
+        if not number or len(number) > MAX_NUMBER_LENGTH or " " in number:
+            raise InvalidSetUp(f"parameter 184; allowed: 1 to {MAX_NUMBER_LENGTH} characters without blanks")
+        dest, width = pairs.get("dest", -1.0), pairs.get("width", 1.0)
         if not dest.is_integer() or not 0 <= dest < 65536:
-            raise Unfit("parameter 185: dest; allowed: 0 to 65535")
-        if width != self.widths[cls]:
-            raise Unfit(f"parameter 185: width; allowed for this class: {self.widths[cls]}")
+            raise InvalidSetUp("parameter 185: dest; allowed: 0 to 65535")
+        if width != self.class_widths[class_no]:
+            raise InvalidSetUp(f"parameter 185: width; allowed for this class: {self.class_widths[class_no]}")
         return io.CallOffered(
             call=message.call,
-            class_no=cls,
+            class_no=class_no,
             dest=int(dest),
             width=int(width),
-            expires=sent + wait * MS,
+            expires=received_at + wait_ms * MS,
             number=number,
-            hint=int(said.get("via", -1)),
-            transit=said.get("transit") == 1,
-            was_cut=said.get("again") == 1,
+            hint=int(pairs.get("via", -1)),
+            transit=pairs.get("transit") == 1,
+            was_cut=pairs.get("again") == 1,
         )
 
     @staticmethod
-    def _at(text: str) -> str:
+    def _standing_at(text: str) -> str:
         for pair in text.split(";"):
             name, _, value = pair.partition(":")
-            if name == "at" and 0 < len(value) <= LONGEST_NUMBER:
+            if name == "at" and 0 < len(value) <= MAX_NUMBER_LENGTH:
                 return value
         return ""
 
 
-def report(message: Message) -> io.LoadReport | None:
-    """The load report that a message carries, empty where it carries none; None where it cannot be read."""
+def load_report(message: Message) -> io.LoadReport | None:
+    """The load report in a message, an empty one if the message has none, or None if it is malformed."""
     if isup.REPORT not in message.parameters:
         return io.LoadReport()
-    said = figures(message.text(isup.REPORT) or "?")
-    if said is None:
+    pairs = parse_pairs(message.text_parameter(isup.REPORT) or "?")
+    if pairs is None:
         return None
-    return read_report({REPORT_NAMES.get(name, name): value for name, value in said.items()})
+    return read_report({REPORT_NAMES.get(name, name): value for name, value in pairs.items()})
 
 
-def outcome(message: Message) -> tuple[io.Outcome, io.Cause]:
-    """How an attempt ended, and why, by an office's release before the answer."""
-    ended = ENDS.get(message.cause or 0, io.Outcome.CUT)
-    return ended, NOTES.get(message.text(isup.NOTE) or "", io.Cause.NONE)
+def attempt_outcome(message: Message) -> tuple[io.Outcome, io.Cause]:
+    """Outcome and cause of an attempt that an office released before answering it."""
+    outcome = OUTCOME_BY_CAUSE.get(message.cause or 0, io.Outcome.CUT)
+    return outcome, CAUSE_BY_DIAGNOSTIC.get(message.text_parameter(isup.DIAGNOSTIC) or "", io.Cause.NONE)
 
 
-def readable(description: bytes) -> bool:
-    """Whether a description can be passed on: some lines of text."""
+def is_valid_description(description: bytes) -> bool:
+    """Whether a description can be forwarded: it is not empty and is ASCII."""
     return bool(description) and description.isascii()
 
 
-class BadList(ValueError):
-    """News of the offices that cannot be read."""
+class InvalidOfficeList(ValueError):
+    """A list of offices, or an entry of one, that is malformed."""
 
 
-def entry(row: Any) -> tuple[io.OfficeEntry, str]:
-    """One line of the list of offices, and its address.  Raises BadList."""
+def parse_office_entry(row: Any) -> tuple[io.OfficeEntry, str]:
+    """Parse one host of the list of offices; return its entry and address.  Raises InvalidOfficeList."""
     if not isinstance(row, dict):
-        raise BadList("a host that is no object")
-    name, dial, block, health = row.get("host"), row.get("dial"), row.get("block"), row.get("health")
-    born = row.get("born_ms") or 0
-    if not isinstance(name, str) or not 0 < len(name) <= LONGEST_NUMBER:
-        raise BadList("a host without a name")
-    if not isinstance(health, str) or health not in STATES:
-        raise BadList(f"health {health!r} of {name}; allowed: {', '.join(STATES)}")
-    if not isinstance(block, int) or not isinstance(born, int) or not isinstance(dial, str):
-        raise BadList(f"dial, block or born_ms of {name}")
-    return io.OfficeEntry(name, block, STATES[health], born * MS), dial
+        raise InvalidOfficeList("a host that is not an object")
+    name, address, block, health = row.get("host"), row.get("dial"), row.get("block"), row.get("health")
+    started_ms = row.get("born_ms") or 0
+    if not isinstance(name, str) or not 0 < len(name) <= MAX_NUMBER_LENGTH:
+        raise InvalidOfficeList("a host without a name")
+    if not isinstance(health, str) or health not in OFFICE_STATES:
+        raise InvalidOfficeList(f"health {health!r} of {name}; allowed: {', '.join(OFFICE_STATES)}")
+    if not isinstance(block, int) or not isinstance(started_ms, int) or not isinstance(address, str):
+        raise InvalidOfficeList(f"dial, block or born_ms of {name} has the wrong type")
+    return io.OfficeEntry(name, block, OFFICE_STATES[health], started_ms * MS), address
--- a/eiderstep/node/owed.py
+++ b/eiderstep/node/owed.py
@@ -1,67 +1,74 @@
-"""Releases that have to arrive, though a connection may go at any moment.  No I/O, no clock."""
+"""Reliable delivery of releases over connections that may be lost.  No I/O, no clock."""
 
 from __future__ import annotations
 
 from typing import Any
 
 SECOND = 1_000_000_000
-OWED_FOR = 8 * SECOND  # the platform waits so long for a release that no connection could take
-IN_DOUBT = 2 * SECOND  # a connection that is lost so soon after a release was written may have lost it
+MAX_PENDING_TIME = 8 * SECOND  # ns; the platform waits this long for a release that no connection could take
+LOSS_WINDOW = 2 * SECOND  # ns; a release written this shortly before its connection was lost may be lost too
 
 
-class Owed:
-    """What is owed to whom (an office, or a caller's source), and what was written but may not have arrived.
+class PendingReleases:
+    """Releases that wait for a connection, and releases that were written but are not yet confirmed.
 
-    Danger: bytes written to a connection that is reset reach nobody, and a call whose end was in them stands
-    on at the other side for ever.  So they are kept until the other side says that it has heard, or for
-    `IN_DOUBT`, and go out again on the next connection.  Hurts nobody: a second release of a call is dropped.
+    A destination is an office or a caller's source.  Bytes written to a connection that is then reset are
+    lost, and the far end would keep the released call for ever.  So a release is kept until the far end
+    confirms it, or for `LOSS_WINDOW`, and is sent again on the next connection.  A duplicate release does no
+    harm: the far end drops it.
     """
 
     def __init__(self) -> None:
-        self.owed: dict[str, dict[str, tuple[int, bytes]]] = {}
-        self.written: dict[int, dict[str, tuple[int, str, bytes]]] = {}  # by flow and call
+        # By destination and call reference: time (ns) and encoded release.
+        self.pending: dict[str, dict[str, tuple[int, bytes]]] = {}
+        # By flow and call reference: time (ns), destination and encoded release.
+        self.unconfirmed: dict[int, dict[str, tuple[int, str, bytes]]] = {}
 
     def __bool__(self) -> bool:
-        return bool(self.owed or self.written)
-
-    def owe(self, now: int, whom: str, name: str, data: bytes) -> None:
-        """No connection could take it."""
-        self.owed.setdefault(whom, {})[name] = (now, data)
-
-    def sent(self, now: int, flow: int, whom: str, name: str, data: bytes) -> None:
-        """It was written on a connection."""
-        self.written.setdefault(flow, {})[name] = (now, whom, data)
-
-    def heard(self, flow: int, name: str) -> None:
-        """The far end says that it has it."""
-        rows = self.written.get(flow)
-        if rows is not None and rows.pop(name, None) is not None and not rows:
-            del self.written[flow]
-
-    def lost(self, now: int, flow: int) -> set[str]:
-        """A connection is lost; to whom something is owed now because of it."""
-        whom_all = set()
-        for name, (at, whom, data) in self.written.pop(flow, {}).items():
-            if now - at <= IN_DOUBT:
-                self.owed.setdefault(whom, {})[name] = (at, data)
-                whom_all.add(whom)
-        return whom_all
-
-    def take(self, now: int, whom: str) -> list[tuple[str, bytes]]:
-        """What is owed to somebody, who can be reached now: calls and messages."""
-        rows = self.owed.pop(whom, {})
-        return [(name, data) for name, (at, data) in rows.items() if now - at <= OWED_FOR]
-
-    def forget(self, now: int) -> None:
-        """Danger: what nobody ever comes for would be kept for ever."""
-        _drop(self.owed, now - OWED_FOR)
-        _drop(self.written, now - IN_DOUBT)
-
-
-def _drop(table: dict[Any, dict[str, Any]], oldest: int) -> None:
-    """Rows begin with their time: those before `oldest` go, and who has none left."""
+        return bool(self.pending or self.unconfirmed)
+
+    def add(self, now: int, destination: str, reference: str, data: bytes) -> None:
+        """Keep a release until a connection to its destination can take it."""
+        self.pending.setdefault(destination, {})[reference] = (now, data)
+
+    def mark_written(self, now: int, flow: int, destination: str, reference: str, data: bytes) -> None:
+        """Record that a release was written to a connection."""
+        self.unconfirmed.setdefault(flow, {})[reference] = (now, destination, data)
+
+    def confirm(self, flow: int, reference: str) -> None:
+        """The far end has confirmed a release."""
+        rows = self.unconfirmed.get(flow)
+        if rows is not None and rows.pop(reference, None) is not None and not rows:
+            del self.unconfirmed[flow]
+
+    def connection_lost(self, now: int, flow: int) -> set[str]:
+        """Requeue what a lost connection may not have delivered; return the destinations concerned."""
+        destinations = set()
+        for reference, (written_at, destination, data) in self.unconfirmed.pop(flow, {}).items():
+            if now - written_at <= LOSS_WINDOW:
+                self.pending.setdefault(destination, {})[reference] = (written_at, data)
+                destinations.add(destination)
+        return destinations
+
+    def take_pending(self, now: int, destination: str) -> list[tuple[str, bytes]]:
+        """Remove and return the call references and releases for a destination that can be reached now."""
+        rows = self.pending.pop(destination, {})
+        return [
+            (reference, data)
+            for reference, (queued_at, data) in rows.items()
+            if now - queued_at <= MAX_PENDING_TIME
+        ]
+
+    def discard_expired(self, now: int) -> None:
+        """Drop releases past their time, so that those of unreachable destinations are not kept for ever."""
+        _drop_older(self.pending, now - MAX_PENDING_TIME)
+        _drop_older(self.unconfirmed, now - LOSS_WINDOW)
+
+
+def _drop_older(table: dict[Any, dict[str, Any]], oldest: int) -> None:
+    """Drop rows, which begin with their time, from before `oldest`, and keys without rows."""
     for key, rows in list(table.items()):
-        for name in [name for name, row in rows.items() if row[0] < oldest]:
-            del rows[name]
+        for reference in [reference for reference, row in rows.items() if row[0] < oldest]:
+            del rows[reference]
         if not rows:
             del table[key]
--- a/eiderstep/node/records.py
+++ b/eiderstep/node/records.py
@@ -1,4 +1,4 @@
-"""The records of the call table: a call and its attempt."""
+"""Records of the call table: a call and its current attempt."""
 
 from __future__ import annotations
 
@@ -13,55 +13,56 @@
 class CallState(Enum):
     """OFFERED -> STANDING -> OVER, or OFFERED -> OVER."""
 
-    OFFERED = auto()  # an answer is owed
+    OFFERED = auto()  # the set-up is still to be answered or refused
     STANDING = auto()
     OVER = auto()
 
 
 class AttemptState(Enum):
-    """WAITING -> OUT -> OVER, or OVER from either; an attempt whose call stands is over."""
+    """WAITING -> SENT -> OVER, or WAITING -> OVER; the attempt of a standing call is OVER."""
 
     WAITING = auto()  # for a link
-    OUT = auto()
+    SENT = auto()
     OVER = auto()
 
 
 class Call:
-    """One call, from its set-up to its release.  `flow`: the caller's connection that it came on."""
+    """One call, from its set-up to its release.  `flow`: the caller's connection that carries it."""
 
     __slots__ = (
-        "attempt", "expires", "flow", "guard", "legs", "name", "office", "passed", "source", "state", "width",
+        "attempt", "attempt_count", "expires", "flow", "forwarded", "limit_timer", "office", "reference",
+        "source", "state", "width",
     )  # fmt: skip
 
     def __init__(self, message: Message, offer: io.CallOffered | None, flow: int) -> None:
-        self.name, self.flow = message.call, flow
+        self.reference, self.flow = message.call, flow
         self.expires = offer.expires if offer is not None else 0
         self.width = offer.width if offer is not None else 0
         self.state = CallState.OFFERED
-        self.passed: dict[int, bytes] = message.parameters if offer is not None else {}  # type: ignore[assignment]
-        self.legs = 0
+        self.forwarded: dict[int, bytes] = message.parameters if offer is not None else {}  # type: ignore[assignment]
+        self.attempt_count = 0
         self.attempt: Attempt | None = None
         self.office = self.source = ""
-        self.guard: Entry | None = None
+        self.limit_timer: Entry | None = None
 
-    def set_up(self, wait: int) -> bytes:
-        """The set-up for an office: class, number and description as they came, our own wait (ms)."""
-        passed = {isup.CLASS: self.passed[isup.CLASS], isup.PATIENCE: str(wait).encode()}
-        passed |= {c: self.passed[c] for c in (isup.NUMBER, isup.DESCRIPTION) if c in self.passed}
-        return Message(isup.IAM, self.name, passed).encode()
+    def encode_set_up(self, wait_ms: int) -> bytes:
+        """Encode the set-up for an office: class, number and description as received, and `wait_ms`."""
+        forwarded = {isup.CLASS: self.forwarded[isup.CLASS], isup.PATIENCE: str(wait_ms).encode()}
+        forwarded |= {c: self.forwarded[c] for c in (isup.NUMBER, isup.DESCRIPTION) if c in self.forwarded}
+        return Message(isup.IAM, self.reference, forwarded).encode()
 
-    def slim(self) -> None:
-        """Keep what a standing call still needs.  Thousands of them stand."""
-        self.passed = {}
+    def discard_parameters(self) -> None:
+        """Drop the set-up parameters, which a standing call no longer needs; thousands of calls may stand."""
+        self.forwarded = {}
 
 
 class Attempt:
-    """One set-up sent on."""
+    """One attempt: a set-up that is sent to an office or waits for a link.  Times in ns."""
 
-    __slots__ = ("call", "flow", "leg", "office", "sent_at", "state", "timer", "until")
+    __slots__ = ("call", "deadline", "flow", "leg", "office", "sent_at", "state", "timer")
 
-    def __init__(self, call: Call, leg: int, office: str, sent_at: int, until: int) -> None:
-        self.call, self.leg, self.office, self.sent_at, self.until = call, leg, office, sent_at, until
+    def __init__(self, call: Call, leg: int, office: str, sent_at: int, deadline: int) -> None:
+        self.call, self.leg, self.office, self.sent_at, self.deadline = call, leg, office, sent_at, deadline
         self.state = AttemptState.WAITING
-        self.flow = -1  # the link that it went out on; below 0 where it never left
+        self.flow = -1  # the link that it was sent on; negative if it has not been sent
         self.timer: Entry | None = None
--- a/eiderstep/node/server.py
+++ b/eiderstep/node/server.py
@@ -1,4 +1,4 @@
-"""One call server on the users' platform: listener, links, change log, and the calls between them."""
+"""One call server on the users' platform: connects listener, links and change log to the call table."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 from eiderstep.isup.message import Message
 from eiderstep.isup.parser import Unreadable
 from eiderstep.node import config as configuration
-from eiderstep.node.bounds import SPEAK, Bounds
-from eiderstep.node.calls import Calls
-from eiderstep.node.changelog import Book, ChangeLog
+from eiderstep.node.bounds import FIRST_MESSAGE_TIMEOUT, CallerLimits
+from eiderstep.node.calls import CallTable
+from eiderstep.node.changelog import ChangeLogPoller, ChangeReader
 from eiderstep.node.config import Config, ConfigError
 from eiderstep.node.links import Links, Peer
 from eiderstep.node.wires import Wire
@@ -26,295 +26,321 @@
 
 SECOND = 1_000_000_000
 MS = 1_000_000
-BEAT = 0.02  # seconds between two looks at whether we have run
-STALLED = 60 * MS  # a gap between them from which we have not
-LOOK = 0.05  # seconds between two looks at links
-TICK = 0.25  # seconds between two looks at silent connections, and at whether we are done
-READY = 0.4  # seconds that the start waits for its links
-LINGER = 1.0  # seconds after SIGTERM in which set-ups still come
-BACKLOG = 512
-READ = 16 * 1024  # bytes of one connection before the next has its turn
-TRIES, READ_AGAIN = 8, 0.25  # of a configuration that cannot be read; seconds between two
-UNREAD = SECOND // 2  # after which a closed connection is cut, whatever is still unread
-
-
-def write(line: str) -> None:
+STALL_CHECK_INTERVAL = 0.02  # seconds between checks for a stall of the process
+STALL_THRESHOLD = 60 * MS  # ns; a longer gap between those checks counts as a stall
+LINK_CHECK_INTERVAL = 0.05  # seconds
+CONNECTION_CHECK_INTERVAL = 0.25  # seconds; also of the check whether a shutdown can complete
+LINK_WAIT = 0.4  # seconds that the start waits for links to all offices
+SHUTDOWN_DELAY = 1.0  # seconds after SIGTERM during which new set-ups are accepted
+BACKLOG = 512  # of the listening socket
+READ_SIZE = 16 * 1024  # bytes; the most that is read from one connection at a time
+CONFIG_TRIES, CONFIG_RETRY_DELAY = (
+    8,
+    0.25,
+)  # attempts to read the configuration on SIGHUP; seconds between them
+CLOSE_TIMEOUT = SECOND // 2  # ns after which a closing connection is aborted, unread data or not
+
+
+def write_line(line: str) -> None:
     print(line, file=sys.stderr, flush=True)
 
 
 class Node:
-    """The process's one call server."""
+    """The call server of this process."""
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, config: Config, environ: Mapping[str, str],
-        clock: Callable[[], int] = time.time_ns, write: Callable[[str], None] = write,
+        clock: Callable[[], int] = time.time_ns, write_line: Callable[[str], None] = write_line,
     ) -> None:  # fmt: skip
-        """Raises ConfigError where the module cannot use the settings."""
-        self.loop, self.config, self.environ, self.clock, self.write = loop, config, environ, clock, write
-        self.latest = 0
-        self.flows = 0
-        self.chance = Random(config.seed ^ 0x5EED)
+        """Raises ConfigError if the module rejects the settings."""
+        self.loop, self.config, self.environ, self.clock, self.write_line = (
+            loop,
+            config,
+            environ,
+            clock,
+            write_line,
+        )
+        self.latest_time = 0
+        self.last_flow = 0
+        self.random = Random(config.seed ^ 0x5EED)
         try:
-            self.calls = Calls(
-                config.settings, config.names, config.dial_time, config.seed, most=config.most_calls
+            self.calls = CallTable(
+                config.settings,
+                config.class_names,
+                config.dial_timeout,
+                config.seed,
+                max_calls=config.max_calls,
             )
-        except ValueError as problem:
-            raise ConfigError(f"settings: {problem}") from None
-        self.wires: dict[int, Wire] = {}
-        self.bounds = Bounds(config.sockets)
-        self.buffer = memoryview(bytearray(READ))
+        except ValueError as error:
+            raise ConfigError(f"settings: {error}") from None
+        self.connections: dict[int, Wire] = {}
+        self.caller_limits = CallerLimits(config.sockets)
+        self.read_buffer = memoryview(bytearray(READ_SIZE))
         self.links = Links(self)
-        self.book = Book(self._news)
-        self.changes = ChangeLog(loop, self.book, config.changelog, self.log)
-        self.stalls = StallWatch(STALLED)
-        self.thinner = Thinner()
-        self.flushing = False
+        self.change_reader = ChangeReader(self._update_offices)
+        self.change_log = ChangeLogPoller(loop, self.change_reader, config.changelog, self.log)
+        self.stall_watch = StallWatch(STALL_THRESHOLD)
+        self.log_limiter = Thinner()
+        self.flush_scheduled = False
         self.timer: asyncio.TimerHandle | None = None
         self.timer_at = 0
         self.listener: asyncio.Server | None = None
-        self.stopping = 0
+        self.stop_requested_at = 0
         self.stopped: asyncio.Future[None] = loop.create_future()
 
     # -- time and the log ----------------------------------------------------------------------------------
 
     def now(self) -> int:
-        """The system's Unix clock (ns), which never goes back here."""
-        self.latest = max(self.latest, self.clock())
-        return self.latest
+        """The system's Unix time (ns), made monotonic."""
+        self.latest_time = max(self.latest_time, self.clock())
+        return self.latest_time
 
     def next_flow(self) -> int:
-        self.flows += 1
-        return self.flows
+        self.last_flow += 1
+        return self.last_flow
 
     def log(self, level: str, event: str, **fields: Any) -> None:
-        """One line, a few of a kind at most: much of this can be provoked from outside."""
-        held = self.thinner.line(self.now(), event)
-        if held >= 0:
-            more = f" held_back={held}" if held else ""
-            said = "".join(f" {key}={value!r}" for key, value in fields.items())
-            self.write(f"{level} {event}{said}{more}"[:400])
+        """Write one log line, rate-limited by event: many events can be caused by peers."""
+        suppressed = self.log_limiter.line(self.now(), event)
+        if suppressed >= 0:
+            suffix = f" held_back={suppressed}" if suppressed else ""
+            text = "".join(f" {key}={value!r}" for key, value in fields.items())
+            self.write_line(f"{level} {event}{text}{suffix}"[:400])
 
-    # -- the start, a new configuration, the end -----------------------------------------------------------
+    # -- start, reload, shutdown ---------------------------------------------------------------------------
 
     async def start(self) -> None:
-        """Take the list, dial, then listen: a call that came before would find every office out of reach."""
+        """Apply the initial list, dial, then listen: an earlier call would find no office reachable."""
         try:
-            self.book.take(self.config.known, first=True)
-        except ValueError as problem:
-            raise ConfigError(f"known: {problem}") from None
-        self.changes.follow()
+            self.change_reader.apply_answer(self.config.known, initial=True)
+        except ValueError as error:
+            raise ConfigError(f"known: {error}") from None
+        self.change_log.start()
         self._flush()
-        end = self.loop.time() + READY
-        while self.loop.time() < end and any(not p.wires for p in self.links.peers.values()):
+        deadline = self.loop.time() + LINK_WAIT
+        while self.loop.time() < deadline and any(not peer.connections for peer in self.links.peers.values()):
             await asyncio.sleep(0.01)
         settle_collector()
         host, port = self.config.listen
         try:
             self.listener = await self.loop.create_server(lambda: Wire(self), host, port, backlog=BACKLOG)
-        except OSError as problem:
-            raise ConfigError(f"listen {host}:{port}: {problem.strerror or problem}") from None
-        self._beat()
-        self._tick()
-        self._look()
-        said = {"listen": f"{host}:{port}", "offices": len(self.links.peers)}
-        self.log("info", "serving", name=self.config.name, **said)
-
-    def reread(self, tries: int = TRIES) -> None:
-        """SIGHUP: the change log may have moved.  What cannot be read leaves the old configuration.
-
-        Danger: the file may be half written at that moment, and the signal comes once; the old change log
-        then closes, and drains would not be heard of.  So it is read a few times more.
+        except OSError as error:
+            raise ConfigError(f"listen {host}:{port}: {error.strerror or error}") from None
+        self._check_stall()
+        self._check_connections()
+        self._check_links()
+        fields = {"listen": f"{host}:{port}", "offices": len(self.links.peers)}
+        self.log("info", "serving", name=self.config.name, **fields)
+
+    def reload_config(self, tries_left: int = CONFIG_TRIES) -> None:
+        """Handle SIGHUP: reload the configuration, which may name another change log.
+
+        An unreadable file leaves the old configuration in force.  The file may be half written at that
+        moment, and the signal is sent only once; if the reload failed for good, the old change log would
+        close and drains would go unnoticed.  So the read is retried a few times.
         """
         try:
-            fresh = configuration.read(self.environ)
-        except ConfigError as problem:
-            self.log("error", "configuration not read", why=str(problem))
-            if tries > 1 and not self.stopped.done():
-                self.loop.call_later(READ_AGAIN, self.reread, tries - 1)
+            new_config = configuration.read_config(self.environ)
+        except ConfigError as error:
+            self.log("error", "configuration not read", why=str(error))
+            if tries_left > 1 and not self.stopped.done():
+                self.loop.call_later(CONFIG_RETRY_DELAY, self.reload_config, tries_left - 1)
             return
-        self.log("info", "configuration read", changelog=fresh.changelog)
-        if fresh.changelog != self.config.changelog:
-            self.changes.follow(fresh.changelog)
-        self.config = fresh
+        self.log("info", "configuration read", changelog=new_config.changelog)
+        if new_config.changelog != self.config.changelog:
+            self.change_log.start(new_config.changelog)
+        self.config = new_config
 
-    def stop(self) -> None:
-        """SIGTERM: what still comes is served; the end comes once nothing is owed to anybody.
+    def begin_shutdown(self) -> None:
+        """Handle SIGTERM: keep serving, and shut down once no set-up is open.
 
-        What stands goes on without us: its callers tell whoever comes after.
+        Standing calls continue without this process: their callers report them to its successor.
         """
-        if not self.stopping:
-            self.stopping = self.now()
+        if not self.stop_requested_at:
+            self.stop_requested_at = self.now()
             self.log("info", "stopping", open=sum(len(a) for a in self.calls.asked.values()))
 
-    def end(self) -> None:
+    def shut_down(self) -> None:
         if not self.stopped.done():
-            self.changes.stop()
+            self.change_log.stop()
             self.links.close()
             if self.listener is not None:
                 self.listener.close()
-            for wire in list(self.wires.values()):
-                wire.close()
-            self.log("info", "stopped", **{k.replace(" ", "_"): v for k, v in self.calls.counts.items()})
+            for connection in list(self.connections.values()):
+                connection.close()
+            self.log("info", "stopped", **{k.replace(" ", "_"): v for k, v in self.calls.counters.items()})
             self.stopped.set_result(None)
 
     # -- connections ---------------------------------------------------------------------------------------
 
-    def caller_came(self, wire: Wire) -> None:
-        self.wires[wire.flow] = wire
-        self.calls.caller_came(wire.flow, wire.source)
-        evicted = self.bounds.came(self.now(), wire.flow, wire.source, self.calls.calls_on)
-        if evicted is not None and evicted in self.wires:
-            self.log("warning", "connections at their limit", source=self.wires[evicted].source)
-            self.wires[evicted].abort()
-
-    def link_up(self, wire: Wire) -> None:
-        if not self.links.up(wire):
-            wire.abort()
+    def caller_connected(self, connection: Wire) -> None:
+        self.connections[connection.flow] = connection
+        self.calls.caller_connected(connection.flow, connection.source)
+        evicted = self.caller_limits.admit(
+            self.now(), connection.flow, connection.source, self.calls.connection_weight
+        )
+        if evicted is not None and evicted in self.connections:
+            self.log("warning", "connections at their limit", source=self.connections[evicted].source)
+            self.connections[evicted].abort()
+
+    def link_up(self, connection: Wire) -> None:
+        if not self.links.link_up(connection):
+            connection.abort()
             return
-        self.wires[wire.flow] = wire
-        self.calls.link_up(self.now(), wire.office, wire.flow)
-        self._soon()
+        self.connections[connection.flow] = connection
+        self.calls.link_up(self.now(), connection.office, connection.flow)
+        self._schedule_flush()
 
-    def unreached(self, peer: Peer, refused: bool, why: str) -> None:
-        """A dial failed.  A refused one proves that the process there is dead, and what it held is cut."""
+    def connect_failed(self, peer: Peer, was_refused: bool, why: str) -> None:
+        """Handle a failed dial.  A refusal proves that the office's process is dead, so its calls are cut."""
         self.log("warning", "office not reached", office=peer.office, why=why)
-        if not peer.wires:
-            self.calls.unreachable(self.now(), peer.office)
-            if refused:
-                self.calls.office_lost(self.now(), peer.office)
-            self._soon()
-
-    def lost(self, wire: Wire) -> None:
-        self.wires.pop(wire.flow, None)
-        if wire.office:
-            self.calls.link_lost(self.now(), wire.flow)
-            self.links.lost(wire)
+        if not peer.connections:
+            self.calls.office_unreachable(self.now(), peer.office)
+            if was_refused:
+                self.calls.office_failed(self.now(), peer.office)
+            self._schedule_flush()
+
+    def connection_lost(self, connection: Wire) -> None:
+        self.connections.pop(connection.flow, None)
+        if connection.office:
+            self.calls.link_lost(self.now(), connection.flow)
+            self.links.link_lost(connection)
         else:
-            self.bounds.closed(wire.flow)
-            self.calls.caller_lost(self.now(), wire.flow)
-        self._soon()
+            self.caller_limits.remove(connection.flow)
+            self.calls.caller_disconnected(self.now(), connection.flow)
+        self._schedule_flush()
 
-    def came(self, wire: Wire, items: list[Message | Unreadable]) -> None:
-        """Messages of one connection, in order."""
+    def messages_received(self, connection: Wire, items: list[Message | Unreadable]) -> None:
+        """Handle messages of one connection, in order."""
         now = self.now()
-        if wire.office:
-            self._from_office(now, wire, items)
+        if connection.office:
+            self._from_office(now, connection, items)
         else:
-            self._from_caller(now, wire, items)
-        self._soon()
+            self._from_caller(now, connection, items)
+        self._schedule_flush()
 
-    def _from_office(self, now: int, wire: Wire, items: list[Message | Unreadable]) -> None:
+    def _from_office(self, now: int, connection: Wire, items: list[Message | Unreadable]) -> None:
         for item in items:
-            fit = isinstance(item, Message) and (
-                wire.flow not in self.calls.linked or self.calls.office_spoke(now, wire.flow, item)
+            usable = isinstance(item, Message) and (
+                connection.flow not in self.calls.office_by_link
+                or self.calls.handle_office_message(now, connection.flow, item)
             )
-            if not fit:
+            if not usable:
                 why = item.why if isinstance(item, Unreadable) else isup.NAMES[item.kind]
-                self.log("warning", "office not understood", office=wire.office, why=why)
-                self.calls.link_lost(now, wire.flow)
-                wire.abort()
+                self.log("warning", "invalid message from office", office=connection.office, why=why)
+                self.calls.link_lost(now, connection.flow)
+                connection.abort()
                 return
 
-    def _from_caller(self, now: int, wire: Wire, items: list[Message | Unreadable]) -> None:
-        waited = self._waited(now)
-        pause = self.bounds.pour(now, wire.flow, len(items))
-        if pause:
-            self.log("warning", "caller slowed", source=wire.source)
-            wire.pause(pause)
+    def _from_caller(self, now: int, connection: Wire, items: list[Message | Unreadable]) -> None:
+        unread_time = self._unread_time(now)
+        delay = self.caller_limits.charge_messages(now, connection.flow, len(items))
+        if delay:
+            self.log("warning", "caller over message rate; reading paused", source=connection.source)
+            connection.pause_reading(delay)
         for item in items:
             if isinstance(item, Message):
-                self.bounds.spoke(wire.flow)
-            if isinstance(item, Unreadable) or not self.calls.caller_spoke(now, wire.flow, item, waited):
+                self.caller_limits.message_received(connection.flow)
+            if isinstance(item, Unreadable) or not self.calls.handle_caller_message(
+                now, connection.flow, item, unread_time
+            ):
                 why = item.why if isinstance(item, Unreadable) else isup.NAMES[item.kind]
-                self.log("info", "caller not understood", source=wire.source, why=why)
-                wire.close()
+                self.log("info", "invalid message from caller", source=connection.source, why=why)
+                connection.close()
                 return
 
-    # -- the list, time and what the calls wish --------------------------------------------------------------
+    # -- list of offices, timers, effects -------------------------------------------------------------------
 
-    def _news(self, kind: io.ListKind, entries: tuple[io.OfficeEntry, ...], dials: dict[str, str]) -> None:
-        self.calls.news(kind, entries)
-        own = self.config.settings.own_number
+    def _update_offices(
+        self, kind: io.ListKind, entries: tuple[io.OfficeEntry, ...], addresses: dict[str, str]
+    ) -> None:
+        self.calls.update_offices(kind, entries)
+        own_number = self.config.settings.own_number
         for entry in entries:
-            if entry.number != own:
+            if entry.number != own_number:
                 gone = entry.state is io.OfficeState.GONE
-                self.links.told(entry.office, dials[entry.office], entry.started, gone)
+                self.links.update_office(entry.office, addresses[entry.office], entry.started, gone)
         if kind is not io.ListKind.CHANGES:
-            self.links.only({entry.office for entry in entries})
-        self._soon()
+            self.links.remove_unlisted({entry.office for entry in entries})
+        self._schedule_flush()
 
-    def _waited(self, now: int) -> int:
-        waited = self.stalls.waited(now)
-        if self.stalls.fresh:
-            self.log("warning", "stalled", ms=self.stalls.fresh // MS)
-        return waited
+    def _unread_time(self, now: int) -> int:
+        """How long input that is read now may have lain unread because this process stalled (ns)."""
+        unread_time = self.stall_watch.waited(now)
+        if self.stall_watch.fresh:
+            self.log("warning", "stalled", ms=self.stall_watch.fresh // MS)
+        return unread_time
 
-    def _beat(self) -> None:
+    def _check_stall(self) -> None:
         if not self.stopped.done():
             now = self.now()
-            self._waited(now)
-            self.stalls.beat(now)
-            self.loop.call_later(BEAT, self._beat)
+            self._unread_time(now)
+            self.stall_watch.beat(now)
+            self.loop.call_later(STALL_CHECK_INTERVAL, self._check_stall)
 
-    def _look(self) -> None:
+    def _check_links(self) -> None:
         if not self.stopped.done():
-            self.links.watch(self.now())
-            self._soon()
-            self.loop.call_later(LOOK, self._look)
+            self.links.check_links(self.now())
+            self._schedule_flush()
+            self.loop.call_later(LINK_CHECK_INTERVAL, self._check_links)
 
-    def _tick(self) -> None:
+    def _check_connections(self) -> None:
         if self.stopped.done():
             return
         now = self.now()
-        self.calls.forget(now)
-        late = set(self.bounds.late(now))
-        for wire in list(self.wires.values()):
-            if wire.closing_at and now - wire.closing_at > UNREAD:
-                wire.abort()  # it does not read what we had for it
-            elif wire.flow in late or (wire.begun_at and not wire.office and now - wire.begun_at > SPEAK):
-                wire.close()
-        if self.stopping and now - self.stopping >= LINGER * SECOND:
+        self.calls.discard_expired(now)
+        silent = set(self.caller_limits.silent_connections(now))
+        for connection in list(self.connections.values()):
+            if connection.closing_at and now - connection.closing_at > CLOSE_TIMEOUT:
+                connection.abort()  # the peer has not read the remaining data
+            elif connection.flow in silent or (
+                connection.partial_since
+                and not connection.office
+                and now - connection.partial_since > FIRST_MESSAGE_TIMEOUT
+            ):
+                connection.close()
+        if self.stop_requested_at and now - self.stop_requested_at >= SHUTDOWN_DELAY * SECOND:
             if not any(self.calls.asked.values()):
-                self.end()
+                self.shut_down()
                 return
-        self.loop.call_later(TICK, self._tick)
+        self.loop.call_later(CONNECTION_CHECK_INTERVAL, self._check_connections)
 
-    def _soon(self) -> None:
-        """Flush once the loop has read what else has come: news goes before what it decides."""
-        if not self.flushing:
-            self.flushing = True
+    def _schedule_flush(self) -> None:
+        """Flush after the loop has read all pending input, so that decisions use the latest events."""
+        if not self.flush_scheduled:
+            self.flush_scheduled = True
             self.loop.call_soon(self._flush)
 
     def _flush(self) -> None:
-        self.flushing = False
+        self.flush_scheduled = False
         calls = self.calls
         for effect in calls.flush(self.now()):
             if isinstance(effect, fx.Dial):
-                self.links.want(effect.address)
+                self.links.request_link(effect.address)
             elif isinstance(effect, fx.Log):
                 self.log(effect.level, effect.event, **effect.fields)
-        self._write()
+        self._write_outgoing()
         due = calls.next_due()
         if due is not None and (self.timer is None or due < self.timer_at):
             if self.timer is not None:
                 self.timer.cancel()
             self.timer_at = due
-            self.timer = self.loop.call_later(max(due - self.now(), 0) / SECOND, self._due)
+            self.timer = self.loop.call_later(max(due - self.now(), 0) / SECOND, self._run_timers)
 
-    def _write(self) -> None:
-        """All bytes of a batch, joined for each connection."""
-        if not self.calls.out:
+    def _write_outgoing(self) -> None:
+        """Write the bytes of a batch, joined for each connection."""
+        if not self.calls.outgoing:
             return
         batches: dict[int, list[bytes]] = {}
-        for flow, data in self.calls.out:
+        for flow, data in self.calls.outgoing:
             batches.setdefault(flow, []).append(data)
-        self.calls.out.clear()
+        self.calls.outgoing.clear()
         for flow, parts in batches.items():
-            wire = self.wires.get(flow)
-            if wire is not None:
-                wire.send(parts[0] if len(parts) == 1 else b"".join(parts))
+            connection = self.connections.get(flow)
+            if connection is not None:
+                connection.send(parts[0] if len(parts) == 1 else b"".join(parts))
 
-    def _due(self) -> None:
+    def _run_timers(self) -> None:
         self.timer = None
-        self.calls.due(self.now())
+        self.calls.run_timers(self.now())
         self._flush()
--- a/eiderstep/node/wires.py
+++ b/eiderstep/node/wires.py
@@ -1,4 +1,4 @@
-"""Protocol classes: connections from callers and links to offices."""
+"""The TCP protocol class for connections from callers and links to offices."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 if TYPE_CHECKING:
     from eiderstep.node.server import Node
 
-UNSENT = 256 * 1024  # bytes that a peer may leave unread
+MAX_UNSENT = 256 * 1024  # bytes that may wait for a peer that does not read
 
 
 class Wire(asyncio.BufferedProtocol):
-    """One TCP connection; `office` is empty for a caller's.
+    """One TCP connection; `office` is empty for a caller's connection.
 
-    Danger: read whole, what one peer has written is a quarter of a megabyte at a time, and all others wait
-    while it is worked through.  All share one small buffer, so each has its turn after `Node.buffer` bytes.
+    An unlimited read can return a quarter of a megabyte from one peer, and all other connections wait while
+    it is processed.  So all connections share one small buffer, `Node.read_buffer`, which limits each read.
     """
 
     def __init__(self, node: Node, office: str = "") -> None:
@@ -27,68 +27,69 @@
         self.parser = Parser()
         self.transport: asyncio.Transport | None = None
         self.source = ""
-        self.heard_at = self.begun_at = self.tested_at = 0  # ns; the second: of a message not whole yet
-        self.closing_at = 0
-        self.lost = False
-        self.over: asyncio.Future[None] | None = None  # of a link: done when it is lost
+        # ns.  `partial_since`: since when an incomplete message has been buffered, 0 if none is.
+        self.last_received_at = self.partial_since = self.tested_at = 0
+        self.closing_at = 0  # ns; when `close` was called, 0 before
+        self.is_lost = False
+        self.closed: asyncio.Future[None] | None = None  # only for links: done when the link is lost
 
     def connection_made(self, transport: Any) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        self.heard_at = self.node.now()
+        self.last_received_at = self.node.now()
         if self.office:
-            # Danger: what an office sends first may be read before whoever dialled goes on; it is the state
-            # of the group, or the end of a call.  So the link counts from here.
-            self.over = self.node.loop.create_future()
+            # The office's first message (a group state or a release) may be read before the dialling task
+            # resumes.  So the link is registered here, or that message would be discarded.
+            self.closed = self.node.loop.create_future()
             self.node.link_up(self)
             return
-        name = transport.get_extra_info("peername")
-        self.source = str(name[0]) if name else "?"
-        self.node.caller_came(self)
+        peer_name = transport.get_extra_info("peername")
+        self.source = str(peer_name[0]) if peer_name else "?"
+        self.node.caller_connected(self)
 
     def get_buffer(self, sizehint: int) -> memoryview:
-        return self.node.buffer
+        return self.node.read_buffer
 
     def buffer_updated(self, size: int) -> None:
-        self.data_received(bytes(self.node.buffer[:size]))
+        self.data_received(bytes(self.node.read_buffer[:size]))
 
     def data_received(self, data: bytes) -> None:
         if self.closing_at:
             return
-        self.heard_at = self.node.now()
+        self.last_received_at = self.node.now()
         items: list[Message | Unreadable] = self.parser.feed(data)
-        if not self.parser.held:
-            self.begun_at = 0
-        elif items or not self.begun_at:
-            self.begun_at = self.heard_at
+        if not self.parser.remainder:
+            self.partial_since = 0
+        elif items or not self.partial_since:
+            self.partial_since = self.last_received_at
         if items:
-            self.node.came(self, items)
+            self.node.messages_received(self, items)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.lost = True
-        self.node.lost(self)
-        if self.over is not None and not self.over.done():
-            self.over.set_result(None)
+        self.is_lost = True
+        self.node.connection_lost(self)
+        if self.closed is not None and not self.closed.done():
+            self.closed.set_result(None)
 
     def send(self, data: bytes) -> None:
-        """Danger: a peer that reads nothing makes us hold all we have for it: over the limit it is cut."""
+        """Write `data`; abort if more than MAX_UNSENT bytes wait because the peer does not read."""
         if self.transport is not None and not self.transport.is_closing():
             self.transport.write(data)
-            if self.transport.get_write_buffer_size() > UNSENT:
+            if self.transport.get_write_buffer_size() > MAX_UNSENT:
                 self.node.log("warning", "peer reads nothing", peer=self.office or self.source)
                 self.transport.abort()
 
-    def pause(self, length: int) -> None:
-        """Read nothing for so long (ns)."""
+    def pause_reading(self, duration: int) -> None:
+        """Stop reading for `duration` (ns)."""
         if self.transport is not None and not self.transport.is_closing():
             self.transport.pause_reading()
-            self.node.loop.call_later(length / 1e9, self._read_on)
+            self.node.loop.call_later(duration / 1e9, self._resume_reading)
 
-    def _read_on(self) -> None:
-        if self.transport is not None and not self.lost and not self.transport.is_closing():
+    def _resume_reading(self) -> None:
+        if self.transport is not None and not self.is_lost and not self.transport.is_closing():
             self.transport.resume_reading()
 
     def close(self) -> None:
-        """Close once all is written; nothing more is read."""
+        """Close once all data is written; nothing more is read."""
         if self.transport is not None and not self.transport.is_closing():
             self.closing_at = self.node.now()
             self.transport.close()
--- a/tests/node_rig.py
+++ b/tests/node_rig.py
@@ -1,4 +1,4 @@
-"""A call table with a mind that does as it is told, and the messages of callers and offices."""
+"""Test rig: a call table with a scripted decider, and builders for messages of callers and offices."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 from eiderstep.isup import message as isup
 from eiderstep.isup.message import Message
 from eiderstep.isup.parser import Parser
-from eiderstep.node.calls import Calls
+from eiderstep.node.calls import CallTable
 
 MS = 1_000_000
 SECOND = 1000 * MS
 START = 1_800_000_000 * SECOND
-HERE, THERE = "s-here", "s-there"
-CALLER, OTHER, LINK, SPARE = 1, 2, 11, 12
-A, B = "a" * 16, "b" * 16
+OFFICE, OTHER_OFFICE = "s-here", "s-there"
+CALLER, OTHER_CALLER, LINK, OTHER_LINK = 1, 2, 11, 12
+CALL_A, CALL_B = "a" * 16, "b" * 16
 DESCRIPTION = b"words of the far end\r\n"
 SETTINGS = io.Settings(
     classes=(
@@ -26,93 +26,104 @@
 )  # fmt: skip
 
 
-class Mind:
-    """Writes down what it is told; says what the test has put into `says`, call by call."""
+class ScriptedDecider:
+    """Records the events passed to it and returns the actions that the test has put into `next_actions`."""
 
     def __init__(self, settings: io.Settings, seed: int) -> None:
-        self.heard: list[io.Event] = []
-        self.says: list[io.Action] = []
+        self.events: list[io.Event] = []
+        self.next_actions: list[io.Action] = []
 
     def handle(self, now: int, events: list[io.Event]) -> list[io.Action]:
-        self.heard += events
-        said, self.says = self.says, []
-        return said
-
-
-def set_up(call: str = A, wait: int = 1500, figures: str = "dest:1;width:1;via:-1", **more: bytes) -> Message:
-    cls = more.pop("klass", b"voice")
-    said = {
-        isup.CLASS: cls, isup.PATIENCE: str(wait).encode(), isup.NUMBER: b"7f3a9c21e0b4d655",
-        isup.FIGURES: figures.encode(), isup.DESCRIPTION: b"words of the caller\r\n",
+        self.events += events
+        actions, self.next_actions = self.next_actions, []
+        return actions
+
+
+def set_up(
+    call: str = CALL_A, wait: int = 1500, pairs: str = "dest:1;width:1;via:-1", **more: bytes
+) -> Message:
+    class_name = more.pop("class_name", b"voice")
+    parameters = {
+        isup.CLASS: class_name, isup.PATIENCE: str(wait).encode(), isup.NUMBER: b"7f3a9c21e0b4d655",
+        isup.FIGURES: pairs.encode(), isup.DESCRIPTION: b"words of the caller\r\n",
     }  # fmt: skip
-    said |= {getattr(isup, name.upper()): value for name, value in more.items()}
-    return Message(isup.IAM, call, said)
+    parameters |= {getattr(isup, name.upper()): value for name, value in more.items()}
+    return Message(isup.IAM, call, parameters)
 
 
-def answer(call: str = A, description: bytes = DESCRIPTION) -> Message:
+def answer(call: str = CALL_A, description: bytes = DESCRIPTION) -> Message:
     return Message(isup.ANM, call, {isup.DESCRIPTION: description})
 
 
-def release(call: str = A, cause: int = 16, note: str = "", report: str = "") -> Message:
-    said = {isup.CAUSE: bytes((cause,))}
-    said |= {isup.NOTE: note.encode()} if note else {}
-    said |= {isup.REPORT: report.encode()} if report else {}
-    return Message(isup.REL, call, said)
+def release(call: str = CALL_A, cause: int = 16, diagnostic: str = "", report: str = "") -> Message:
+    parameters = {isup.CAUSE: bytes((cause,))}
+    parameters |= {isup.DIAGNOSTIC: diagnostic.encode()} if diagnostic else {}
+    parameters |= {isup.REPORT: report.encode()} if report else {}
+    return Message(isup.REL, call, parameters)
 
 
-class Table:
-    """`Calls` with two offices, a link to the first and a caller's connection."""
+class CallTableRig:
+    """A `CallTable` with two offices, a link to the first and a connection from a caller."""
 
     def __init__(self) -> None:
         self.now = START
-        self.calls = Calls(SETTINGS, ("voice", "wide"), 500 * MS, 1, Mind)
-        assert isinstance(self.calls.mind, Mind)
+        self.calls = CallTable(SETTINGS, ("voice", "wide"), 500 * MS, 1, ScriptedDecider)
+        assert isinstance(self.calls.mind, ScriptedDecider)
         self.mind = self.calls.mind
         self.effects: list[fx.Effect] = []
         up = io.OfficeState.UP
-        self.calls.news(io.ListKind.REMEMBERED, (io.OfficeEntry(HERE, 1, up), io.OfficeEntry(THERE, 2, up)))
-        self.calls.caller_came(CALLER, "caller")
-        self.calls.link_up(self.now, HERE, LINK)
-        self.take()
-
-    def take(self, *says: io.Action) -> list[tuple[int, Message]]:
-        """Flush; the module says this.  What went out, by flow."""
-        self.mind.says += says
+        self.calls.update_offices(
+            io.ListKind.REMEMBERED, (io.OfficeEntry(OFFICE, 1, up), io.OfficeEntry(OTHER_OFFICE, 2, up))
+        )
+        self.calls.caller_connected(CALLER, "caller")
+        self.calls.link_up(self.now, OFFICE, LINK)
+        self.flush()
+
+    def flush(self, *actions: io.Action) -> list[tuple[int, Message]]:
+        """Flush, with `actions` as the decider's answer; return the messages sent, with their flows."""
+        self.mind.next_actions += actions
         self.effects += self.calls.flush(self.now)
         sent = []
-        for flow, data in self.calls.out:
+        for flow, data in self.calls.outgoing:
             for item in Parser().feed(data):
                 assert isinstance(item, Message)
                 sent.append((flow, item))
-        self.calls.out.clear()
+        self.calls.outgoing.clear()
         return sent
 
-    def after(self, ms: float) -> list[tuple[int, Message]]:
-        """Let time go by."""
+    def advance(self, ms: float) -> list[tuple[int, Message]]:
+        """Move the clock forward, run the timers and flush."""
         self.now += int(ms * MS)
-        self.calls.due(self.now)
-        return self.take()
+        self.calls.run_timers(self.now)
+        return self.flush()
 
-    def heard(self, kind: type) -> list[io.Event]:
-        """What the module was told of a kind since it was asked last."""
-        found = [e for e in self.mind.heard if isinstance(e, kind)]
-        self.mind.heard = [e for e in self.mind.heard if not isinstance(e, kind)]
+    def take_events(self, kind: type) -> list[io.Event]:
+        """Remove and return the events of a type that the decider has received."""
+        found = [event for event in self.mind.events if isinstance(event, kind)]
+        self.mind.events = [event for event in self.mind.events if not isinstance(event, kind)]
         return found
 
-    def offered(self, call: str = A, office: str = HERE) -> list[tuple[int, Message]]:
-        """A set-up came and goes to an office."""
-        assert self.calls.caller_spoke(self.now, CALLER, set_up(call))
-        return self.take(io.Send(call, office, self.now + 900 * MS))
-
-    def standing(self, call: str = A) -> None:
-        self.offered(call)
-        assert self.calls.office_spoke(self.now, LINK, answer(call))
-        self.take()
-        self.mind.heard.clear()
-
-    def empty(self) -> bool:
-        """Nothing is held of any call, once the longest that a release is owed is over."""
-        c = self.calls
-        c.forget(self.now + 9 * SECOND)
-        held = (c.calls, c.standing, c.waiting, c.owed, c.events, c.out)
-        return not (any(held) or any(c.asked.values()) or any(c.on_link.values()))
+    def offer(self, call: str = CALL_A, office: str = OFFICE) -> list[tuple[int, Message]]:
+        """Receive a set-up and send it to an office; return the messages sent."""
+        assert self.calls.handle_caller_message(self.now, CALLER, set_up(call))
+        return self.flush(io.Send(call, office, self.now + 900 * MS))
+
+    def make_standing(self, call: str = CALL_A) -> None:
+        self.offer(call)
+        assert self.calls.handle_office_message(self.now, LINK, answer(call))
+        self.flush()
+        self.mind.events.clear()
+
+    def holds_nothing(self) -> bool:
+        """Whether nothing is held of any call after the longest time that a release is kept."""
+        calls = self.calls
+        calls.discard_expired(self.now + 9 * SECOND)
+        held = (
+            calls.calls,
+            calls.standing,
+            calls.waiting_for_link,
+            calls.pending_releases,
+            calls.events,
+            calls.outgoing,
+        )
+        return not (any(held) or any(calls.asked.values()) or any(calls.on_link.values()))
--- a/tests/test_node_calls.py
+++ b/tests/test_node_calls.py
@@ -1,4 +1,4 @@
-"""The call table on the platform's wire: each crossing ends in one answer, one end, and nothing held."""
+"""The call table: whatever messages cross, a call gets one answer and one end, and nothing is left behind."""
 
 import pytest
 
@@ -7,492 +7,502 @@
 from eiderstep.isup import message as isup
 from eiderstep.isup.message import Message
 from tests.node_rig import (
+    CALL_A,
+    CALL_B,
     CALLER,
-    HERE,
     LINK,
     MS,
-    OTHER,
+    OFFICE,
+    OTHER_CALLER,
+    OTHER_LINK,
+    OTHER_OFFICE,
     SECOND,
-    SPARE,
-    THERE,
-    A,
-    B,
-    Table,
+    CallTableRig,
     answer,
     release,
     set_up,
 )  # fmt: skip
 
-OUT, CAUSES = io.Outcome, io.Cause
+Outcome, Cause = io.Outcome, io.Cause
 
 
-def ends(table: Table) -> list[tuple[object, object, bool]]:
+def attempt_ends(table: CallTableRig) -> list[tuple[object, object, bool]]:
     return [
-        (e.outcome, e.cause, e.settled)
-        for e in table.heard(io.AttemptEnded)
-        if isinstance(e, io.AttemptEnded)
+        (event.outcome, event.cause, event.settled)
+        for event in table.take_events(io.AttemptEnded)
+        if isinstance(event, io.AttemptEnded)
     ]
 
 
-def test_a_call_from_its_set_up_to_its_release() -> None:
-    table = Table()
-    [(flow, sent)] = table.offered()
-    [offer] = table.heard(io.CallOffered)
+def test_call_from_set_up_to_release() -> None:
+    table = CallTableRig()
+    [(flow, set_up_sent)] = table.offer()
+    [offer] = table.take_events(io.CallOffered)
     assert isinstance(offer, io.CallOffered)
     assert (offer.class_no, offer.dest, offer.width, offer.expires) == (0, 1, 1, table.now + 1500 * MS)
-    # Class, number and description pass on as they came; the wait is the attempt's; no figures.
-    came = set_up().parameters
-    passed = {c: came[c] for c in (isup.CLASS, isup.NUMBER, isup.DESCRIPTION)} | {isup.PATIENCE: b"900"}
-    assert (flow, sent) == (LINK, Message(isup.IAM, A, passed))
+    # Class, number and description are forwarded unchanged, the wait is the attempt's, 185 is dropped.
+    received = set_up().parameters
+    forwarded = {code: received[code] for code in (isup.CLASS, isup.NUMBER, isup.DESCRIPTION)} | {
+        isup.PATIENCE: b"900"
+    }
+    assert (flow, set_up_sent) == (LINK, Message(isup.IAM, CALL_A, forwarded))
     table.now += 30 * MS
-    assert table.calls.office_spoke(table.now, LINK, answer())
-    assert table.take() == [(CALLER, answer())]
-    assert table.heard(io.CallStands) == [io.CallStands(A, 0, HERE, 30 * MS)]
-    table.after(1000)
-    assert table.calls.office_spoke(table.now, LINK, release(report="x0:4;x1:40;queue:3"))
-    assert table.take() == [(CALLER, release()), (LINK, Message(isup.RLC, A))]
-    assert table.calls.caller_spoke(table.now, CALLER, Message(isup.RLC, A))
-    [end] = table.heard(io.AttemptEnded)
+    assert table.calls.handle_office_message(table.now, LINK, answer())
+    assert table.flush() == [(CALLER, answer())]
+    assert table.take_events(io.CallStands) == [io.CallStands(CALL_A, 0, OFFICE, 30 * MS)]
+    table.advance(1000)
+    assert table.calls.handle_office_message(table.now, LINK, release(report="x0:4;x1:40;queue:3"))
+    assert table.flush() == [(CALLER, release()), (LINK, Message(isup.RLC, CALL_A))]
+    assert table.calls.handle_caller_message(table.now, CALLER, Message(isup.RLC, CALL_A))
+    [end] = table.take_events(io.AttemptEnded)
     assert isinstance(end, io.AttemptEnded)
-    assert (end.outcome, end.settled, end.took) == (OUT.RELEASED, True, 1030 * MS)
+    assert (end.outcome, end.settled, end.took) == (Outcome.RELEASED, True, 1030 * MS)
     assert end.report == io.LoadReport(free=4, size=40, waiting=3.0)
-    assert table.empty()
+    assert table.holds_nothing()
 
 
 @pytest.mark.parametrize(
-    ("cause", "note", "outcome", "why"),
+    ("cause", "diagnostic", "outcome", "why"),
     [
-        (34, "atb", OUT.TURNED_AWAY, CAUSES.NO_CIRCUIT), (34, "rtb", OUT.TURNED_AWAY, CAUSES.TANDEM_REFUSED),
-        (34, "racc", OUT.TURNED_AWAY, CAUSES.BEYOND_FULL),
-        (34, "acc", OUT.TURNED_AWAY, CAUSES.PROCESSOR_FULL),
-        (17, "sub", OUT.FAULT, CAUSES.NUMBER_BUSY), (47, "", OUT.FAULT, CAUSES.NONE),
-        (102, "acc", OUT.NOT_SENT, CAUSES.PROCESSOR_FULL), (41, "", OUT.CUT, CAUSES.NONE),
-        (16, "", OUT.CUT, CAUSES.NONE), (88, "odd", OUT.CUT, CAUSES.NONE),
+        (34, "atb", Outcome.TURNED_AWAY, Cause.NO_CIRCUIT),
+        (34, "rtb", Outcome.TURNED_AWAY, Cause.TANDEM_REFUSED),
+        (34, "racc", Outcome.TURNED_AWAY, Cause.BEYOND_FULL),
+        (34, "acc", Outcome.TURNED_AWAY, Cause.PROCESSOR_FULL),
+        (17, "sub", Outcome.FAULT, Cause.NUMBER_BUSY),
+        (47, "", Outcome.FAULT, Cause.NONE),
+        (102, "acc", Outcome.NOT_SENT, Cause.PROCESSOR_FULL),
+        (41, "", Outcome.CUT, Cause.NONE),
+        (16, "", Outcome.CUT, Cause.NONE),
+        (88, "odd", Outcome.CUT, Cause.NONE),
     ],
-)  # fmt: skip
-def test_a_release_before_the_answer_is_the_attempts_end(
-    cause: int, note: str, outcome: io.Outcome, why: io.Cause
+)
+def test_release_before_the_answer_ends_the_attempt(
+    cause: int, diagnostic: str, outcome: io.Outcome, why: io.Cause
 ) -> None:
-    table = Table()
-    table.offered()
-    assert table.calls.office_spoke(table.now, LINK, release(cause=cause, note=note))
-    assert table.take(io.Refuse(A, 1700 * MS)) == [
-        (CALLER, Message(isup.REL, A, {isup.CAUSE: b"\x2a", isup.PAUSE: b"1700"}))
+    table = CallTableRig()
+    table.offer()
+    assert table.calls.handle_office_message(table.now, LINK, release(cause=cause, diagnostic=diagnostic))
+    assert table.flush(io.Refuse(CALL_A, 1700 * MS)) == [
+        (CALLER, Message(isup.REL, CALL_A, {isup.CAUSE: b"\x2a", isup.PAUSE: b"1700"}))
     ]
-    assert ends(table) == [(outcome, why, False)]
-    assert table.empty()
+    assert attempt_ends(table) == [(outcome, why, False)]
+    assert table.holds_nothing()
 
 
-def test_abandoned_is_failed_and_what_is_out_for_it_is_given_up() -> None:
-    table = Table()
-    table.offered()
-    sent = table.take(io.Abandon(A))
-    assert sent == []  # no event, nothing said
+def test_abandoned_call_is_refused_and_its_attempt_released() -> None:
+    table = CallTableRig()
+    table.offer()
+    sent = table.flush(io.Abandon(CALL_A))
+    assert sent == []  # without an event the decider is not called
     table.calls.events.append(io.TimerDue(1))
-    assert table.take() == [(CALLER, release(cause=31)), (LINK, release())]
-    assert ends(table) == [(OUT.CANCELLED, CAUSES.NONE, True)]
-    assert table.empty()
-
-
-def test_the_attempts_time_is_up_and_its_answer_crosses_our_giving_up() -> None:
-    table = Table()
-    table.offered()
-    assert table.after(900) == [(LINK, release())]
-    assert ends(table) == [(OUT.NO_ANSWER, CAUSES.NONE, False)]
-    assert table.calls.office_spoke(table.now, LINK, answer())
-    assert table.take(io.Abandon(A)) == []  # the late answer tells the module nothing
-    assert table.heard(io.CallStands) == []
-    assert table.calls.counts["answers dropped"] == 1
-
-
-def test_an_answer_read_after_its_time_is_given_up_not_passed_on() -> None:
-    table = Table()
-    table.offered()
-    table.now += 901 * MS  # a stall: the timer has not run yet
-    assert table.calls.office_spoke(table.now, LINK, answer())
-    assert table.take() == [(LINK, release())]
-    assert ends(table) == [(OUT.NO_ANSWER, CAUSES.NONE, False)]
-    assert table.after(0) == []
-
-
-def test_a_cancelled_attempt_frees_the_call_for_another() -> None:
-    table = Table()
-    table.offered()
+    assert table.flush() == [(CALLER, release(cause=31)), (LINK, release())]
+    assert attempt_ends(table) == [(Outcome.CANCELLED, Cause.NONE, True)]
+    assert table.holds_nothing()
+
+
+def test_answer_that_crosses_the_release_of_a_timed_out_attempt_is_dropped() -> None:
+    table = CallTableRig()
+    table.offer()
+    assert table.advance(900) == [(LINK, release())]
+    assert attempt_ends(table) == [(Outcome.NO_ANSWER, Cause.NONE, False)]
+    assert table.calls.handle_office_message(table.now, LINK, answer())
+    assert table.flush(io.Abandon(CALL_A)) == []  # the late answer causes no event
+    assert table.take_events(io.CallStands) == []
+    assert table.calls.counters["answers dropped"] == 1
+
+
+def test_answer_read_after_the_deadline_is_released() -> None:
+    table = CallTableRig()
+    table.offer()
+    table.now += 901 * MS  # after a stall: the timer has not run yet
+    assert table.calls.handle_office_message(table.now, LINK, answer())
+    assert table.flush() == [(LINK, release())]
+    assert attempt_ends(table) == [(Outcome.NO_ANSWER, Cause.NONE, False)]
+    assert table.advance(0) == []
+
+
+def test_call_can_be_sent_again_after_its_attempt_is_cancelled() -> None:
+    table = CallTableRig()
+    table.offer()
     table.calls.events.append(io.TimerDue(1))
-    assert table.take(io.Cancel(A, 0)) == [(LINK, release())]
-    assert ends(table) == [(OUT.CANCELLED, CAUSES.NONE, False)]
+    assert table.flush(io.Cancel(CALL_A, 0)) == [(LINK, release())]
+    assert attempt_ends(table) == [(Outcome.CANCELLED, Cause.NONE, False)]
     table.calls.events.append(io.TimerDue(2))
-    [(flow, again)] = table.take(io.Send(A, HERE, 0))
-    assert (flow, again.kind) == (LINK, isup.IAM)
+    [(flow, second)] = table.flush(io.Send(CALL_A, OFFICE, 0))
+    assert (flow, second.kind) == (LINK, isup.IAM)
     table.calls.events.append(io.TimerDue(3))
-    assert table.take(io.Cancel(A, 0)) == []  # the first one is over; the second is not touched
-    assert table.calls.office_spoke(table.now, LINK, answer())
-    assert table.take() == [(CALLER, answer())]
+    assert table.flush(io.Cancel(CALL_A, 0)) == []  # leg 0 is over; leg 1 is not cancelled
+    assert table.calls.handle_office_message(table.now, LINK, answer())
+    assert table.flush() == [(CALLER, answer())]
 
 
-def test_never_two_attempts_of_a_call() -> None:
-    table = Table()
-    table.offered()
+def test_second_concurrent_attempt_of_a_call_is_not_sent() -> None:
+    table = CallTableRig()
+    table.offer()
     table.calls.events.append(io.TimerDue(1))
-    assert table.take(io.Send(A, HERE, 0)) == []
-    assert ends(table) == [(OUT.NOT_SENT, CAUSES.NONE, True)]
+    assert table.flush(io.Send(CALL_A, OFFICE, 0)) == []
+    assert attempt_ends(table) == [(Outcome.NOT_SENT, Cause.NONE, True)]
 
 
-def test_second_answers_and_unknown_ids_reach_nobody() -> None:
-    table = Table()
-    table.standing()
-    for message in (answer(), answer(B)):
-        assert table.calls.office_spoke(table.now, LINK, message)
-    assert table.take() == []
-    assert table.calls.counts["answers dropped"] == 2
+def test_second_answers_and_unknown_references_are_dropped() -> None:
+    table = CallTableRig()
+    table.make_standing()
+    for message in (answer(), answer(CALL_B)):
+        assert table.calls.handle_office_message(table.now, LINK, message)
+    assert table.flush() == []
+    assert table.calls.counters["answers dropped"] == 2
 
 
-def test_a_spoilt_answer_is_not_passed_on_and_its_link_is_of_no_use() -> None:
-    table = Table()
-    table.offered(A)
-    table.offered(B)
-    assert not table.calls.office_spoke(table.now, LINK, answer(A, b"words\xff"))
+def test_invalid_answer_is_not_forwarded_and_closes_the_link() -> None:
+    table = CallTableRig()
+    table.offer(CALL_A)
+    table.offer(CALL_B)
+    assert not table.calls.handle_office_message(table.now, LINK, answer(CALL_A, b"words\xff"))
     table.calls.link_lost(table.now, LINK)
-    assert table.take() == []
-    assert ends(table) == [(OUT.CUT, CAUSES.NONE, False)] * 2  # each set-up on it, once
+    assert table.flush() == []
+    assert attempt_ends(table) == [(Outcome.CUT, Cause.NONE, False)] * 2  # each set-up on the link, once
 
 
-def test_a_lost_link_ends_its_set_ups_once_and_not_what_stands() -> None:
-    table = Table()
-    table.standing(A)
-    table.offered(B)
+def test_lost_link_ends_its_set_ups_once_and_keeps_standing_calls() -> None:
+    table = CallTableRig()
+    table.make_standing(CALL_A)
+    table.offer(CALL_B)
     table.calls.link_lost(table.now, LINK)
     table.calls.link_lost(table.now, LINK)
-    table.take()
-    assert ends(table) == [(OUT.CUT, CAUSES.NONE, False)]
-    table.calls.link_up(table.now, HERE, SPARE)  # the end comes on the next link
-    assert table.calls.office_spoke(table.now, SPARE, release(A))
-    assert (CALLER, release(A)) in table.take()
+    table.flush()
+    assert attempt_ends(table) == [(Outcome.CUT, Cause.NONE, False)]
+    table.calls.link_up(table.now, OFFICE, OTHER_LINK)  # the release comes on the next link
+    assert table.calls.handle_office_message(table.now, OTHER_LINK, release(CALL_A))
+    assert (CALLER, release(CALL_A)) in table.flush()
 
 
-def test_a_silent_link_tells_nothing_of_its_set_ups() -> None:
-    table = Table()
-    table.offered()
+def test_set_ups_on_a_silent_link_end_without_answer() -> None:
+    table = CallTableRig()
+    table.offer()
     table.calls.link_lost(table.now, LINK, silent=True)
-    table.take()
-    assert ends(table) == [(OUT.NO_ANSWER, CAUSES.NONE, False)]
+    table.flush()
+    assert attempt_ends(table) == [(Outcome.NO_ANSWER, Cause.NONE, False)]
 
 
-def test_without_a_link_a_set_up_waits_for_one() -> None:
-    table = Table()
-    assert table.offered(office=THERE) == []
-    assert table.effects[-1] == fx.Dial(THERE)
-    table.calls.link_up(table.now, THERE, SPARE)
-    [(flow, sent)] = table.take()
-    assert (flow, sent.kind) == (SPARE, isup.IAM)
-    assert table.after(500) == []
-    assert ends(table) == []
+def test_set_up_waits_for_a_link() -> None:
+    table = CallTableRig()
+    assert table.offer(office=OTHER_OFFICE) == []
+    assert table.effects[-1] == fx.Dial(OTHER_OFFICE)
+    table.calls.link_up(table.now, OTHER_OFFICE, OTHER_LINK)
+    [(flow, set_up_sent)] = table.flush()
+    assert (flow, set_up_sent.kind) == (OTHER_LINK, isup.IAM)
+    assert table.advance(500) == []
+    assert attempt_ends(table) == []
 
 
 @pytest.mark.parametrize("refused", [True, False])
-def test_a_set_up_whose_link_never_came_up_never_ran(refused: bool) -> None:
-    table = Table()
-    table.offered(office=THERE)
+def test_set_up_without_a_link_ends_as_unreachable(refused: bool) -> None:
+    table = CallTableRig()
+    table.offer(office=OTHER_OFFICE)
     if refused:
-        table.calls.unreachable(table.now, THERE)
-        table.take()
+        table.calls.office_unreachable(table.now, OTHER_OFFICE)
+        table.flush()
     else:
-        table.after(500)
-    assert ends(table) == [(OUT.UNREACHABLE, CAUSES.NONE, False)]
-    table.calls.link_up(table.now, THERE, SPARE)
-    assert table.take() == []  # nothing goes out late
-
-
-def test_an_office_off_the_list_is_not_sent_to() -> None:
-    table = Table()
-    table.calls.news(io.ListKind.CHANGES, (io.OfficeEntry(THERE, 2, io.OfficeState.GONE),))
-    assert table.offered(office=THERE) == []
-    assert ends(table) == [(OUT.UNREACHABLE, CAUSES.NONE, False)]
-
-
-def test_the_caller_gives_up() -> None:
-    table = Table()
-    table.offered()
-    assert table.calls.caller_spoke(table.now, CALLER, release())
-    assert table.take(io.Refuse(A)) == [(LINK, release())]  # no answer is owed
-    assert table.heard(io.CallGone) == [io.CallGone(A)]
-    assert ends(table) == [(OUT.CANCELLED, CAUSES.NONE, True)]
-    assert table.empty()
-
-
-def test_the_callers_connection_goes_with_a_set_up_open_and_a_call_standing() -> None:
-    table = Table()
-    table.standing(A)
-    table.offered(B)
-    table.calls.caller_lost(table.now, CALLER)
-    assert table.take() == [(LINK, release(B))]
-    # What stands goes on; its end finds the next connection from there.
-    assert table.calls.office_spoke(table.now, LINK, release(A))
-    assert table.take() == [(LINK, Message(isup.RLC, A))]
-    table.calls.caller_came(OTHER, "caller")
-    table.calls.caller_spoke(table.now, OTHER, Message(isup.TEST, B))
-    assert (OTHER, release(A)) in table.take()
-    assert table.empty()
-
-
-def test_what_no_connection_takes_is_forgotten_in_the_end() -> None:
-    table = Table()
-    table.standing(A)
-    table.calls.caller_lost(table.now, CALLER)
+        table.advance(500)
+    assert attempt_ends(table) == [(Outcome.UNREACHABLE, Cause.NONE, False)]
+    table.calls.link_up(table.now, OTHER_OFFICE, OTHER_LINK)
+    assert table.flush() == []  # the ended set-up is not sent
+
+
+def test_set_up_is_not_sent_to_an_unlisted_office() -> None:
+    table = CallTableRig()
+    table.calls.update_offices(io.ListKind.CHANGES, (io.OfficeEntry(OTHER_OFFICE, 2, io.OfficeState.GONE),))
+    assert table.offer(office=OTHER_OFFICE) == []
+    assert attempt_ends(table) == [(Outcome.UNREACHABLE, Cause.NONE, False)]
+
+
+def test_caller_gives_up() -> None:
+    table = CallTableRig()
+    table.offer()
+    assert table.calls.handle_caller_message(table.now, CALLER, release())
+    assert table.flush(io.Refuse(CALL_A)) == [(LINK, release())]  # no answer to the caller
+    assert table.take_events(io.CallGone) == [io.CallGone(CALL_A)]
+    assert attempt_ends(table) == [(Outcome.CANCELLED, Cause.NONE, True)]
+    assert table.holds_nothing()
+
+
+def test_loss_of_a_caller_connection_with_an_open_set_up_and_a_standing_call() -> None:
+    table = CallTableRig()
+    table.make_standing(CALL_A)
+    table.offer(CALL_B)
+    table.calls.caller_disconnected(table.now, CALLER)
+    assert table.flush() == [(LINK, release(CALL_B))]
+    # The standing call continues; its release is sent on the next connection from that source.
+    assert table.calls.handle_office_message(table.now, LINK, release(CALL_A))
+    assert table.flush() == [(LINK, Message(isup.RLC, CALL_A))]
+    table.calls.caller_connected(OTHER_CALLER, "caller")
+    table.calls.handle_caller_message(table.now, OTHER_CALLER, Message(isup.TEST, CALL_B))
+    assert (OTHER_CALLER, release(CALL_A)) in table.flush()
+    assert table.holds_nothing()
+
+
+def test_undeliverable_releases_expire() -> None:
+    table = CallTableRig()
+    table.make_standing(CALL_A)
+    table.calls.caller_disconnected(table.now, CALLER)
     table.calls.link_lost(table.now, LINK)
-    table.calls.office_lost(table.now, HERE)
-    table.take()
-    assert len(table.calls.owed.owed) == 2
-    assert table.empty()
-
-
-def test_a_callers_release_on_another_connection_ends_the_call() -> None:
-    table = Table()
-    table.standing()
-    table.calls.caller_came(OTHER, "caller")
-    assert table.calls.caller_spoke(table.now, OTHER, release())
-    assert table.take() == [(LINK, release())]
-    assert ends(table) == [(OUT.CANCELLED, CAUSES.NONE, True)]
-    assert table.calls.caller_spoke(table.now, OTHER, release())  # again: nothing to end
-    assert table.take() == []
+    table.calls.office_failed(table.now, OFFICE)
+    table.flush()
+    assert len(table.calls.pending_releases.pending) == 2
+    assert table.holds_nothing()
+
+
+def test_release_on_another_connection_of_the_caller_ends_the_call() -> None:
+    table = CallTableRig()
+    table.make_standing()
+    table.calls.caller_connected(OTHER_CALLER, "caller")
+    assert table.calls.handle_caller_message(table.now, OTHER_CALLER, release())
+    assert table.flush() == [(LINK, release())]
+    assert attempt_ends(table) == [(Outcome.CANCELLED, Cause.NONE, True)]
+    assert table.calls.handle_caller_message(table.now, OTHER_CALLER, release())  # a duplicate
+    assert table.flush() == []
     assert not table.calls.calls
 
 
-def test_a_dead_office_cuts_what_stood_there() -> None:
-    table = Table()
-    table.standing()
+def test_calls_at_a_dead_office_are_cut() -> None:
+    table = CallTableRig()
+    table.make_standing()
     table.calls.link_lost(table.now, LINK)
-    table.calls.office_lost(table.now, HERE)
-    assert table.take() == [(CALLER, release(cause=41))]
-    assert ends(table) == [(OUT.CUT, CAUSES.NONE, True)]
-    table.calls.link_up(table.now, HERE, SPARE)  # it was only out of reach: it hears that the call is over
-    assert table.take() == [(SPARE, release(cause=41))]
+    table.calls.office_failed(table.now, OFFICE)
+    assert table.flush() == [(CALLER, release(cause=41))]
+    assert attempt_ends(table) == [(Outcome.CUT, Cause.NONE, True)]
+    table.calls.link_up(table.now, OFFICE, OTHER_LINK)  # it was only unreachable: it receives the release
+    assert table.flush() == [(OTHER_LINK, release(cause=41))]
 
 
-def test_a_call_without_end_is_ended() -> None:
-    table = Table()
-    table.standing()
-    sent = table.after(30 * 2 * SECOND / MS)
+def test_call_beyond_the_maximum_duration_is_ended() -> None:
+    table = CallTableRig()
+    table.make_standing()
+    sent = table.advance(30 * 2 * SECOND / MS)
     assert sent == [(LINK, release(cause=102)), (CALLER, release(cause=102))]
-    assert table.empty()
-
-
-def test_at_names_a_call_that_stands_and_its_end_comes_through() -> None:
-    table = Table()
-    at = set_up(figures=f"dest:1;width:1;via:-1;at:{HERE}")
-    assert table.calls.caller_spoke(table.now, CALLER, at)
-    assert table.take() == []  # it wants no answer
-    assert table.calls.office_spoke(table.now, LINK, release())
-    assert (CALLER, release()) in table.take()
-    assert table.mind.heard == [e for e in table.mind.heard if not isinstance(e, io.AttemptEnded)]
-    assert table.empty()
-
-
-def test_at_after_its_release() -> None:
-    table = Table()
-    assert table.calls.office_spoke(table.now, LINK, release())
-    table.take()
-    assert table.calls.caller_spoke(table.now, CALLER, set_up(figures=f"at:{HERE}"))
-    assert (CALLER, release()) in table.take()
-    assert not table.calls.ends
-    assert table.empty()
-
-
-def test_at_for_an_office_that_is_gone() -> None:
-    table = Table()
-    assert table.calls.caller_spoke(table.now, CALLER, set_up(figures="at:s-gone"))
-    assert table.take() == [(CALLER, release(cause=41))]
-    assert table.empty()
-
-
-def test_at_for_a_call_that_we_hold_moves_it_only_from_a_lost_connection() -> None:
-    table = Table()
-    table.standing()
-    table.calls.caller_came(OTHER, "caller")
-    at = set_up(figures=f"at:{HERE}")
-    table.calls.caller_spoke(table.now, OTHER, at)
-    assert table.calls.calls[A].flow == CALLER
-    table.calls.caller_lost(table.now, CALLER)
-    table.calls.caller_spoke(table.now, OTHER, at)
-    assert table.calls.office_spoke(table.now, LINK, release())
-    assert (OTHER, release()) in table.take()
-
-
-def test_an_open_id_again() -> None:
-    """On another connection it is refused and harms nobody; on its own, the connection is of no use."""
-    table = Table()
-    table.offered()
-    table.calls.caller_came(OTHER, "stranger")
-    assert table.calls.caller_spoke(table.now, OTHER, set_up(description=b"other words"))
-    assert table.take() == [(OTHER, release(cause=41))]
-    assert not table.calls.caller_spoke(table.now, CALLER, set_up(description=b"other words"))
-    assert table.calls.office_spoke(table.now, LINK, answer())
-    assert table.take() == [(CALLER, answer())]
+    assert table.holds_nothing()
+
+
+def test_reported_standing_call_is_adopted_and_its_release_forwarded() -> None:
+    table = CallTableRig()
+    report = set_up(pairs=f"dest:1;width:1;via:-1;at:{OFFICE}")
+    assert table.calls.handle_caller_message(table.now, CALLER, report)
+    assert table.flush() == []  # a report is not answered
+    assert table.calls.handle_office_message(table.now, LINK, release())
+    assert (CALLER, release()) in table.flush()
+    assert table.mind.events == [
+        event for event in table.mind.events if not isinstance(event, io.AttemptEnded)
+    ]
+    assert table.holds_nothing()
+
+
+def test_report_of_a_standing_call_after_its_release() -> None:
+    table = CallTableRig()
+    assert table.calls.handle_office_message(table.now, LINK, release())
+    table.flush()
+    assert table.calls.handle_caller_message(table.now, CALLER, set_up(pairs=f"at:{OFFICE}"))
+    assert (CALLER, release()) in table.flush()
+    assert not table.calls.unknown_call_ends
+    assert table.holds_nothing()
+
+
+def test_report_of_a_standing_call_at_a_gone_office() -> None:
+    table = CallTableRig()
+    assert table.calls.handle_caller_message(table.now, CALLER, set_up(pairs="at:s-gone"))
+    assert table.flush() == [(CALLER, release(cause=41))]
+    assert table.holds_nothing()
+
+
+def test_report_of_a_known_call_moves_it_only_from_a_lost_connection() -> None:
+    table = CallTableRig()
+    table.make_standing()
+    table.calls.caller_connected(OTHER_CALLER, "caller")
+    report = set_up(pairs=f"at:{OFFICE}")
+    table.calls.handle_caller_message(table.now, OTHER_CALLER, report)
+    assert table.calls.calls[CALL_A].flow == CALLER
+    table.calls.caller_disconnected(table.now, CALLER)
+    table.calls.handle_caller_message(table.now, OTHER_CALLER, report)
+    assert table.calls.handle_office_message(table.now, LINK, release())
+    assert (OTHER_CALLER, release()) in table.flush()
+
+
+def test_reuse_of_the_reference_of_an_open_call() -> None:
+    """On another connection the set-up is refused; on the connection of the first one, it is closed."""
+    table = CallTableRig()
+    table.offer()
+    table.calls.caller_connected(OTHER_CALLER, "stranger")
+    assert table.calls.handle_caller_message(table.now, OTHER_CALLER, set_up(description=b"other words"))
+    assert table.flush() == [(OTHER_CALLER, release(cause=41))]
+    assert not table.calls.handle_caller_message(table.now, CALLER, set_up(description=b"other words"))
+    assert table.calls.handle_office_message(table.now, LINK, answer())
+    assert table.flush() == [(CALLER, answer())]
 
 
 @pytest.mark.parametrize(
     "message",
     [
         set_up(wait=0), set_up(wait=10**9), set_up(patience=b"-5"), set_up(patience=b"soon"),
-        set_up(klass=b"no such"), set_up(number=b""), set_up(number=b"x" * 65), set_up(number=b"a b"),
-        set_up(figures="dest:-1;width:1"), set_up(figures="dest:1.5;width:1"), set_up(figures="dest:70000"),
-        set_up(figures="dest:1;width:3"), set_up(figures="dest:1;width:-1"), set_up(figures="dest:x"),
-        set_up(figures="?"), set_up(figures="dest:1;width:1" + ";y:1" * 3000), set_up(call="0" * 16),
+        set_up(class_name=b"no such"), set_up(number=b""), set_up(number=b"x" * 65), set_up(number=b"a b"),
+        set_up(pairs="dest:-1;width:1"), set_up(pairs="dest:1.5;width:1"), set_up(pairs="dest:70000"),
+        set_up(pairs="dest:1;width:3"), set_up(pairs="dest:1;width:-1"), set_up(pairs="dest:x"),
+        set_up(pairs="?"), set_up(pairs="dest:1;width:1" + ";y:1" * 3000), set_up(call="0" * 16),
     ],
 )  # fmt: skip
-def test_unfit_set_ups_are_refused_at_once(message: Message) -> None:
-    table = Table()
-    assert table.calls.caller_spoke(table.now, CALLER, message)
-    assert table.take() == [(CALLER, release(message.call, cause=100))]
-    assert table.heard(io.CallOffered) == []
-    assert table.empty()
+def test_invalid_set_ups_are_refused_at_once(message: Message) -> None:
+    table = CallTableRig()
+    assert table.calls.handle_caller_message(table.now, CALLER, message)
+    assert table.flush() == [(CALLER, release(message.call, cause=100))]
+    assert table.take_events(io.CallOffered) == []
+    assert table.holds_nothing()
 
 
 @pytest.mark.parametrize("text", ["x0", "x0:?", "\x7f"])
-def test_a_report_that_cannot_be_read_ends_the_link(text: str) -> None:
-    table = Table()
+def test_malformed_load_report_closes_the_link(text: str) -> None:
+    table = CallTableRig()
     state = Message(isup.STATE, isup.NO_CALL, {isup.REPORT: text.encode()})
-    assert not table.calls.office_spoke(table.now, LINK, state)
+    assert not table.calls.handle_office_message(table.now, LINK, state)
 
 
-def test_a_groups_state_is_unasked_news() -> None:
-    table = Table()
-    table.mind.heard.clear()
+def test_group_state_is_reported_as_unsolicited() -> None:
+    table = CallTableRig()
+    table.mind.events.clear()
     state = Message(isup.STATE, isup.NO_CALL, {isup.REPORT: b"x0:7;x1:40;queue:-1;qps:-1"})
-    assert table.calls.office_spoke(table.now, LINK, state)
-    table.take()
-    assert table.mind.heard == [io.OfficeHeard(HERE, True, True, 0, io.LoadReport(free=7, size=40))]
+    assert table.calls.handle_office_message(table.now, LINK, state)
+    table.flush()
+    assert table.mind.events == [io.OfficeHeard(OFFICE, True, True, 0, io.LoadReport(free=7, size=40))]
 
 
-def test_a_test_passes_and_what_no_caller_says_ends_the_connection() -> None:
-    table = Table()
-    assert table.calls.caller_spoke(table.now, CALLER, Message(isup.TEST, B, {isup.CAUSE: b"\0"}))
-    assert table.take() == [(CALLER, Message(isup.TESTED, B, {isup.CAUSE: b"\1"}))]
+def test_connection_test_is_answered_and_unexpected_types_close_the_connection() -> None:
+    table = CallTableRig()
+    assert table.calls.handle_caller_message(
+        table.now, CALLER, Message(isup.TEST, CALL_B, {isup.CAUSE: b"\0"})
+    )
+    assert table.flush() == [(CALLER, Message(isup.TESTED, CALL_B, {isup.CAUSE: b"\1"}))]
     for kind in (isup.ANM, isup.STATE, isup.TESTED):
-        assert not table.calls.caller_spoke(table.now, CALLER, Message(kind, B))
+        assert not table.calls.handle_caller_message(table.now, CALLER, Message(kind, CALL_B))
     for kind in (isup.IAM, isup.TEST):
-        assert not table.calls.office_spoke(table.now, LINK, Message(kind, B))
+        assert not table.calls.handle_office_message(table.now, LINK, Message(kind, CALL_B))
 
 
-def test_what_waited_in_the_socket_is_as_old_as_the_stall() -> None:
-    table = Table()
-    table.calls.caller_spoke(table.now, CALLER, set_up(), waited=200 * MS)
-    table.take()
-    [offer] = table.heard(io.CallOffered)
+def test_set_up_read_after_a_stall_expires_earlier_by_its_length() -> None:
+    table = CallTableRig()
+    table.calls.handle_caller_message(table.now, CALLER, set_up(), unread_time=200 * MS)
+    table.flush()
+    [offer] = table.take_events(io.CallOffered)
     assert isinstance(offer, io.CallOffered)
     assert offer.expires == table.now + 1300 * MS
 
 
-def test_a_release_written_to_a_connection_that_is_lost_goes_out_again() -> None:
-    """Bytes on a connection that is reset reach nobody; until the far end has heard, it is owed."""
-    table = Table()
-    table.standing(A)
-    table.standing(B)
-    assert table.calls.office_spoke(table.now, LINK, release(A))
-    assert table.calls.office_spoke(table.now, LINK, release(B))
-    table.take()
-    table.calls.caller_spoke(table.now, CALLER, Message(isup.RLC, A))  # it has heard this one
-    table.calls.caller_came(OTHER, "caller")
-    table.calls.caller_lost(table.now, CALLER)
-    assert table.take() == [(OTHER, release(B))]
+def test_release_written_to_a_lost_caller_connection_is_sent_again() -> None:
+    """Bytes on a connection that is reset are lost, so a release is kept until the far end confirms it."""
+    table = CallTableRig()
+    table.make_standing(CALL_A)
+    table.make_standing(CALL_B)
+    assert table.calls.handle_office_message(table.now, LINK, release(CALL_A))
+    assert table.calls.handle_office_message(table.now, LINK, release(CALL_B))
+    table.flush()
+    table.calls.handle_caller_message(table.now, CALLER, Message(isup.RLC, CALL_A))  # confirms this release
+    table.calls.caller_connected(OTHER_CALLER, "caller")
+    table.calls.caller_disconnected(table.now, CALLER)
+    assert table.flush() == [(OTHER_CALLER, release(CALL_B))]
     table.now += 3 * SECOND
-    table.calls.forget(table.now)
-    table.calls.caller_lost(table.now, OTHER)  # long enough ago: it has arrived
-    assert table.empty()
+    table.calls.discard_expired(table.now)
+    table.calls.caller_disconnected(table.now, OTHER_CALLER)  # written long enough ago to have arrived
+    assert table.holds_nothing()
 
 
-def test_a_release_to_an_office_whose_link_is_lost_goes_out_again() -> None:
-    table = Table()
-    table.standing()
-    table.calls.caller_spoke(table.now, CALLER, release())
-    assert table.take() == [(LINK, release())]
+def test_release_written_to_a_lost_link_is_sent_again() -> None:
+    table = CallTableRig()
+    table.make_standing()
+    table.calls.handle_caller_message(table.now, CALLER, release())
+    assert table.flush() == [(LINK, release())]
     table.calls.link_lost(table.now, LINK)
-    table.calls.link_up(table.now, HERE, SPARE)
-    assert table.take() == [(SPARE, release())]
-
-
-def test_a_release_finds_another_connection_with_calls_where_its_source_has_none() -> None:
-    table = Table()
-    table.standing(A)
-    table.calls.caller_came(OTHER, "elsewhere")
-    table.calls.caller_came(OTHER + 1, "silent")
-    table.calls.caller_spoke(table.now, OTHER, set_up(B))
-    table.take(io.Send(B, HERE, 0))
-    table.calls.office_spoke(table.now, LINK, answer(B))
-    table.take()
-    table.calls.caller_lost(table.now, CALLER)
-    table.calls.office_spoke(table.now, LINK, release(A))
-    assert (OTHER, release(A)) in table.take()
-
-
-def test_circuits_of_a_set_up_that_never_left_are_told_again() -> None:
-    """The module takes them off as it sends; the office, where nothing changed, says nothing."""
-    table = Table()
+    table.calls.link_up(table.now, OFFICE, OTHER_LINK)
+    assert table.flush() == [(OTHER_LINK, release())]
+
+
+def test_release_uses_a_connection_with_calls_if_its_source_has_none() -> None:
+    table = CallTableRig()
+    table.make_standing(CALL_A)
+    table.calls.caller_connected(OTHER_CALLER, "elsewhere")
+    table.calls.caller_connected(OTHER_CALLER + 1, "silent")
+    table.calls.handle_caller_message(table.now, OTHER_CALLER, set_up(CALL_B))
+    table.flush(io.Send(CALL_B, OFFICE, 0))
+    table.calls.handle_office_message(table.now, LINK, answer(CALL_B))
+    table.flush()
+    table.calls.caller_disconnected(table.now, CALLER)
+    table.calls.handle_office_message(table.now, LINK, release(CALL_A))
+    assert (OTHER_CALLER, release(CALL_A)) in table.flush()
+
+
+def test_free_circuits_are_reported_again_after_an_unsent_set_up() -> None:
+    """The module deducts them when it sends; the office, where nothing changed, reports nothing."""
+    table = CallTableRig()
     state = Message(isup.STATE, isup.NO_CALL, {isup.REPORT: b"idle:7;circuits:40;waiting:-1;max_rate:-1"})
-    assert table.calls.office_spoke(table.now, LINK, state)
+    assert table.calls.handle_office_message(table.now, LINK, state)
     table.calls.link_lost(table.now, LINK)
-    table.offered()
-    table.calls.unreachable(table.now, HERE)
-    table.take()
-    [end] = table.heard(io.AttemptEnded)
+    table.offer()
+    table.calls.office_unreachable(table.now, OFFICE)
+    table.flush()
+    [end] = table.take_events(io.AttemptEnded)
     assert isinstance(end, io.AttemptEnded) and end.report is not None
-    assert (end.outcome, end.report.free) == (OUT.UNREACHABLE, 7)
+    assert (end.outcome, end.report.free) == (Outcome.UNREACHABLE, 7)
 
 
-def test_an_office_started_anew_holds_nothing_from_before() -> None:
-    table = Table()
-    table.standing(A)
+def test_restarted_office_loses_only_earlier_calls() -> None:
+    table = CallTableRig()
+    table.make_standing(CALL_A)
     table.now += SECOND
-    table.offered(B)
-    table.calls.office_spoke(table.now, LINK, answer(B))
-    table.take()
-    table.calls.born(table.now + SECOND, HERE, table.now - SECOND // 2)
-    assert table.take() == [(CALLER, release(A, cause=41)), (LINK, release(A, cause=41))][::-1]
-    assert set(table.calls.calls) == {B}
-
-
-@pytest.mark.parametrize("taken_back", [False, True])
-def test_what_hangs_on_a_callers_connection(taken_back: bool) -> None:
-    table = Table()
-    assert table.calls.calls_on(CALLER) == 0
-    table.offered()
-    assert table.calls.calls_on(CALLER) == 2
-    if taken_back:
-        table.calls.caller_spoke(table.now, CALLER, release())
+    table.offer(CALL_B)
+    table.calls.handle_office_message(table.now, LINK, answer(CALL_B))
+    table.flush()
+    table.calls.office_restarted(table.now + SECOND, OFFICE, table.now - SECOND // 2)
+    assert table.flush() == [(CALLER, release(CALL_A, cause=41)), (LINK, release(CALL_A, cause=41))][::-1]
+    assert set(table.calls.calls) == {CALL_B}
+
+
+@pytest.mark.parametrize("withdrawn", [False, True])
+def test_connection_weight(withdrawn: bool) -> None:
+    table = CallTableRig()
+    assert table.calls.connection_weight(CALLER) == 0
+    table.offer()
+    assert table.calls.connection_weight(CALLER) == 2
+    if withdrawn:
+        table.calls.handle_caller_message(table.now, CALLER, release())
     else:
-        table.calls.office_spoke(table.now, LINK, answer())
-        assert table.calls.calls_on(CALLER) == 1
-        table.calls.office_spoke(table.now, LINK, release())
-    assert table.calls.calls_on(CALLER) == 0
+        table.calls.handle_office_message(table.now, LINK, answer())
+        assert table.calls.connection_weight(CALLER) == 1
+        table.calls.handle_office_message(table.now, LINK, release())
+    assert table.calls.connection_weight(CALLER) == 0
 
 
-def test_calls_held_are_bounded() -> None:
-    table = Table()
-    table.calls.most = 1
-    table.standing(A)
-    assert table.calls.caller_spoke(table.now, CALLER, set_up(B))
-    assert table.take() == [(CALLER, release(B, cause=42))]
-    assert table.calls.caller_spoke(table.now, CALLER, set_up(B, figures=f"at:{HERE}"))
-    assert table.take() == [(CALLER, release(B, cause=42))]
+def test_number_of_calls_is_bounded() -> None:
+    table = CallTableRig()
+    table.calls.max_calls = 1
+    table.make_standing(CALL_A)
+    assert table.calls.handle_caller_message(table.now, CALLER, set_up(CALL_B))
+    assert table.flush() == [(CALLER, release(CALL_B, cause=42))]
+    assert table.calls.handle_caller_message(table.now, CALLER, set_up(CALL_B, pairs=f"at:{OFFICE}"))
+    assert table.flush() == [(CALLER, release(CALL_B, cause=42))]
 
 
-def test_a_groups_state_counts_once_whichever_links_bring_it() -> None:
-    table = Table()
-    table.calls.link_up(table.now, HERE, SPARE)
-    table.take()
-    table.mind.heard.clear()
+def test_group_state_is_applied_once_whichever_link_brings_it() -> None:
+    table = CallTableRig()
+    table.calls.link_up(table.now, OFFICE, OTHER_LINK)
+    table.flush()
+    table.mind.events.clear()
 
-    def told(flow: int, free: int) -> int:
+    def apply_state(flow: int, free: int) -> int:
         report = f"idle:{free};circuits:40".encode()
         state = Message(isup.STATE, isup.NO_CALL, {isup.REPORT: report})
-        assert table.calls.office_spoke(table.now, flow, state)
-        table.take()
-        return len(table.heard(io.OfficeHeard))
+        assert table.calls.handle_office_message(table.now, flow, state)
+        table.flush()
+        return len(table.take_events(io.OfficeHeard))
 
-    assert [told(LINK, 7), told(SPARE, 7)] == [1, 0]
-    assert [told(SPARE, 6), told(LINK, 6)] == [1, 0]
-    assert [told(LINK, 7), told(LINK, 7)] == [1, 1]
+    assert [apply_state(LINK, 7), apply_state(OTHER_LINK, 7)] == [1, 0]
+    assert [apply_state(OTHER_LINK, 6), apply_state(LINK, 6)] == [1, 0]
+    assert [apply_state(LINK, 7), apply_state(LINK, 7)] == [1, 1]
     table.calls.link_lost(table.now, LINK)
-    assert told(SPARE, 7) == 0
-    table.calls.link_up(table.now, HERE, LINK + 9)
-    assert told(LINK + 9, 7) == 1
+    assert apply_state(OTHER_LINK, 7) == 0
+    table.calls.link_up(table.now, OFFICE, LINK + 9)
+    assert apply_state(LINK + 9, 7) == 1
