--- a/tests/test_node_process.py
+++ b/tests/test_node_process.py
@@ -1,4 +1,4 @@
-"""The real process on loopback, against stand-ins that spoil, reset, fall silent and flood it."""
+"""The call server process on loopback, against stand-ins that send garbage, reset, fall silent or flood."""
 
 from __future__ import annotations
 
@@ -45,13 +45,13 @@
         return port
 
 
-class World:
-    """Two offices, a change log and the process under test."""
+class Platform:
+    """Two offices, a change log, callers and the process under test."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
         self.offices = [Office("s-one", 1), Office("s-two", 2)]
-        self.log = ChangeLog()
+        self.change_log = ChangeLog()
         self.port = free_port()
         self.process: subprocess.Popen[bytes] | None = None
         self.callers: list[Caller] = []
@@ -59,17 +59,18 @@
     async def open(self) -> None:
         for office in self.offices:
             await office.open()
-        await self.log.open()
-        self.log.tell(*(office.entry() for office in self.offices), whole=True)
+        await self.change_log.open()
+        self.change_log.tell(*(office.entry() for office in self.offices), whole=True)
 
-    def configure(self, **more: Any) -> Path:
+    def configure(self, **overrides: Any) -> Path:
         path = self.folder / "config.json"
-        told = {
+        raw_config = {
             "name": "n0", "listen": f"{HOST}:{self.port}", "seed": "8c1f30d27a5be964",
             "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 256},
-            "changelog": f"{HOST}:{self.log.port}", "known": self.log.answer(0), "settings": SETTINGS,
-        } | more  # fmt: skip
-        path.write_text(json.dumps(told))
+            "changelog": f"{HOST}:{self.change_log.port}", "known": self.change_log.answer(0),
+            "settings": SETTINGS,
+        } | overrides  # fmt: skip
+        path.write_text(json.dumps(raw_config))
         return path
 
     async def start(self) -> None:
@@ -78,19 +79,19 @@
             [sys.executable, "-m", "eiderstep.node"], cwd=ROOT, stderr=(self.folder / "log").open("ab"),
             env={**os.environ, "NODE_CONFIG": str(path)},
         )  # fmt: skip
-        await self.until(lambda: self.said("info serving"))
+        await self.wait_until(lambda: self.logged("info serving"))
 
-    def said(self, line: str) -> bool:
-        return line in self.text()
+    def logged(self, line: str) -> bool:
+        return line in self.log_text()
 
-    def text(self) -> str:
+    def log_text(self) -> str:
         return (self.folder / "log").read_text()
 
-    async def until(self, what: Callable[[], bool], seconds: float = 20.0) -> None:
-        """Wait for an event; the time is only a bound."""
+    async def wait_until(self, condition: Callable[[], bool], seconds: float = 20.0) -> None:
+        """Wait until `condition` holds; fail after `seconds`."""
         async with asyncio.timeout(seconds):
-            while not what():
-                assert self.process is None or self.process.poll() is None, self.text()
+            while not condition():
+                assert self.process is None or self.process.poll() is None, self.log_text()
                 await asyncio.sleep(0.005)
 
     async def caller(self) -> Caller:
@@ -98,7 +99,7 @@
         self.callers.append(caller)
         return caller
 
-    async def ended(self) -> int:
+    async def wait_for_exit(self) -> int:
         assert self.process is not None
         return await asyncio.to_thread(self.process.wait, 20)
 
@@ -110,280 +111,302 @@
             caller.transport.abort()
         for office in self.offices:
             office.kill()
-        self.log.close()
+        self.change_log.close()
 
 
 @contextlib.asynccontextmanager
-async def world(folder: Path) -> AsyncIterator[World]:
-    made = World(folder)
-    await made.open()
+async def running_platform(folder: Path) -> AsyncIterator[Platform]:
+    platform = Platform(folder)
+    await platform.open()
     try:
-        await made.start()
-        yield made
+        await platform.start()
+        yield platform
     finally:
-        made.close()
+        platform.close()
 
 
-Scene = Callable[[World], Coroutine[Any, Any, None]]
+Scenario = Callable[[Platform], Coroutine[Any, Any, None]]
 
 
-def play(folder: Path, scene: Scene) -> None:
+def run_scenario(folder: Path, scenario: Scenario) -> None:
     async def run() -> None:
-        async with world(folder) as made:
-            await scene(made)
+        async with running_platform(folder) as platform:
+            await scenario(platform)
 
     asyncio.run(run())
 
 
-def name(number: int) -> str:
+def call_reference(number: int) -> str:
     return f"{number:016x}"
 
 
-async def call(caller: Caller, number: int, dest: int = 1, **more: Any) -> Message:
-    caller.ask(name(number), dest, **more)
+async def place_call(caller: Caller, number: int, dest: int = 1, **overrides: Any) -> Message:
+    caller.ask(call_reference(number), dest, **overrides)
     return await caller.hear()
 
 
-def test_calls_stand_are_released_both_ways_and_survive_connections(tmp_path: Path) -> None:
-    async def scene(w: World) -> None:
-        one = w.offices[0]
-        caller = await w.caller()
-        caller.send(Message(isup.TEST, name(1), {isup.CAUSE: b"\0"}))
-        assert (await caller.hear()) == Message(isup.TESTED, name(1), {isup.CAUSE: b"\1"})
+def test_calls_are_released_from_both_sides_and_survive_lost_links(tmp_path: Path) -> None:
+    async def scenario(platform: Platform) -> None:
+        office = platform.offices[0]
+        caller = await platform.caller()
+        caller.send(Message(isup.TEST, call_reference(1), {isup.CAUSE: b"\0"}))
+        assert (await caller.hear()) == Message(isup.TESTED, call_reference(1), {isup.CAUSE: b"\1"})
         for number in (10, 11, 12):
-            stood = await call(caller, number)
-            described = f"s-one {name(number)}\r\n".encode()
-            assert stood == Message(isup.ANM, name(number), {isup.DESCRIPTION: described})
-        one.release(name(10))
+            answer = await place_call(caller, number)
+            description = f"s-one {call_reference(number)}\r\n".encode()
+            assert answer == Message(isup.ANM, call_reference(number), {isup.DESCRIPTION: description})
+        office.release(call_reference(10))
         assert (await caller.hear()).kind == isup.REL
-        (await w.caller()).send(Message(isup.REL, name(11), {isup.CAUSE: b"\x10"}))
-        await w.until(lambda: name(11) not in one.standing)
-        old = list(one.wires)
+        (await platform.caller()).send(Message(isup.REL, call_reference(11), {isup.CAUSE: b"\x10"}))
+        await platform.wait_until(lambda: call_reference(11) not in office.standing)
+        old = list(office.wires)
         for wire in old:
             wire.transport.abort()
-        await w.until(lambda: bool(one.wires) and one.wires[-1] not in old)
-        one.release(name(12))  # on a link that its set-up never saw
-        assert (await caller.hear()).call == name(12)
+        await platform.wait_until(lambda: bool(office.wires) and office.wires[-1] not in old)
+        office.release(call_reference(12))  # on a link opened after its set-up
+        assert (await caller.hear()).call == call_reference(12)
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scenario)
 
 
-def test_spoilt_and_doubled_answers(tmp_path: Path) -> None:
-    async def scene(w: World) -> None:
-        one, caller = w.offices[0], await w.caller()
+def test_invalid_and_duplicate_answers(tmp_path: Path) -> None:
+    async def scenario(platform: Platform) -> None:
+        office, caller = platform.offices[0], await platform.caller()
         spoils: list[Callable[[Any, Message], None]] = [
-            lambda wire, m: wire.transport.write(b"\xff" * 100),
-            lambda wire, m: wire.transport.write(
-                b"\x00\x40\x09" + bytes.fromhex(m.call) + b"\xc3\xff\xff" + b"x" * 80
+            lambda wire, message: wire.transport.write(b"\xff" * 100),
+            lambda wire, message: wire.transport.write(
+                b"\x00\x40\x09" + bytes.fromhex(message.call) + b"\xc3\xff\xff" + b"x" * 80
             ),
-            lambda wire, m: wire.send(Message(isup.ANM, m.call, {isup.DESCRIPTION: b"\x80\x81"})),
-            lambda wire, m: wire.transport.abort(),
+            lambda wire, message: wire.send(Message(isup.ANM, message.call, {isup.DESCRIPTION: b"\x80\x81"})),
+            lambda wire, message: wire.transport.abort(),
         ]
         for number, spoil in enumerate(spoils, 20):
 
-            def once(wire: Any, m: Message, spoil: Callable[[Any, Message], None] = spoil) -> None:
-                one.reply = one.answer
-                spoil(wire, m)
-
-            one.reply = once
-            stood = await call(caller, number)  # the reset is told, the release awaited, the next one stands
-            assert stood.kind == isup.ANM
-            described = stood.parameters[isup.DESCRIPTION]  # of whichever office it went to then
-            assert described in [f"{o.name} {name(number)}\r\n".encode() for o in w.offices]
-
-        def doubled(wire: Any, m: Message) -> None:
-            wire.send(Message(isup.ANM, name(99), {isup.DESCRIPTION: b"nobody's\r\n"}))
-            one.answer(wire, m)
-            one.answer(wire, m)
-
-        one.reply = doubled
-        assert (await call(caller, 30)).call == name(30)
-        one.reply = one.answer
-        assert (await call(caller, 31)).call == name(31)  # and nothing between
+            def spoil_once(
+                wire: Any, message: Message, spoil: Callable[[Any, Message], None] = spoil
+            ) -> None:
+                office.reply = office.answer
+                spoil(wire, message)
+
+            office.reply = spoil_once
+            answer = await place_call(caller, number)  # another attempt succeeds after the fault
+            assert answer.kind == isup.ANM
+            description = answer.parameters[isup.DESCRIPTION]  # of the office that took that attempt
+            assert description in [
+                f"{each.name} {call_reference(number)}\r\n".encode() for each in platform.offices
+            ]
+
+        def answer_twice(wire: Any, message: Message) -> None:
+            wire.send(Message(isup.ANM, call_reference(99), {isup.DESCRIPTION: b"nobody's\r\n"}))
+            office.answer(wire, message)
+            office.answer(wire, message)
+
+        office.reply = answer_twice
+        assert (await place_call(caller, 30)).call == call_reference(30)
+        office.reply = office.answer
+        assert (await place_call(caller, 31)).call == call_reference(31)  # and no other message before it
         assert caller.heard.empty()
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scenario)
 
 
-def test_hostile_callers_are_turned_away_and_harm_nobody(tmp_path: Path) -> None:
-    async def scene(w: World) -> None:
-        good = await w.caller()
-        assert (await call(good, 39)).kind == isup.ANM
+def test_hostile_callers_do_not_affect_others(tmp_path: Path) -> None:
+    async def scenario(platform: Platform) -> None:
+        good_caller = await platform.caller()
+        assert (await place_call(good_caller, 39)).kind == isup.ANM
         for data in (b"\x00\x00", b"\xff\xff" + b"x" * 70_000, b"\x00\x09\x7b", b"\x00\x09\x09" + bytes(8)):
-            bad = await w.caller()
-            bad.transport.write(data)
-            await asyncio.wait_for(bad.closed, 3)
-        bad = await w.caller()
-        for number in range(1000, 1300):  # hundreds, taken back at once
-            bad.ask(name(number), 1)
-            bad.send(Message(isup.REL, name(number), {isup.CAUSE: b"\x10"}))
-        bad.ask(name(2000), 1, wait=-1)
-        refused = await bad.hear()
-        assert (refused.call, refused.cause) == (name(2000), isup.INVALID)
-        silent = [await w.caller() for _ in range(220)]  # more than there are descriptors for
-        half = await w.caller()
-        half.transport.write(b"\x00\x40\x01half")
+            bad_caller = await platform.caller()
+            bad_caller.transport.write(data)
+            await asyncio.wait_for(bad_caller.closed, 3)
+        bad_caller = await platform.caller()
+        for number in range(1000, 1300):  # hundreds of set-ups, withdrawn at once
+            bad_caller.ask(call_reference(number), 1)
+            bad_caller.send(Message(isup.REL, call_reference(number), {isup.CAUSE: b"\x10"}))
+        bad_caller.ask(call_reference(2000), 1, wait=-1)
+        refused = await bad_caller.hear()
+        assert (refused.call, refused.cause) == (call_reference(2000), isup.INVALID)
+        # More silent connections than the descriptors available to callers.
+        silent = [await platform.caller() for _ in range(220)]
+        partial = await platform.caller()
+        partial.transport.write(b"\x00\x40\x01half")
         for number in range(40, 60):
-            assert (await call(good, number)).kind == isup.ANM
-        await asyncio.wait_for(asyncio.gather(*(c.closed for c in [*silent, half])), 6)
-        assert (await call(good, 60)).kind == isup.ANM
-        assert (await call(await w.caller(), 61)).kind == isup.ANM
-        assert not w.offices[0].standing & {name(n) for n in range(1000, 1300)}
-
-    play(tmp_path, scene)
-
-
-def test_an_office_that_dies_and_one_that_falls_silent(tmp_path: Path) -> None:
-    async def scene(w: World) -> None:
-        one, two = w.offices
-        caller = await w.caller()
-        assert (await call(caller, 70, 1)).kind == isup.ANM
-        assert (await call(caller, 71, 2)).kind == isup.ANM
-        one.kill()
-        cut = await caller.hear()
-        assert (cut.kind, cut.call, cut.cause) == (isup.REL, name(70), isup.TEMPORARY)
-        two.deaf = True
-        assert two.server is not None
-        two.server.close()  # cut off: open connections stay open, new ones never come up
-        late = await call(caller, 72, 2, wait=1200)
-        assert (late.kind, late.call) == (isup.REL, name(72))  # given up, and answered in time
-        cut = await caller.hear(9)
-        assert (cut.call, cut.cause) == (name(71), isup.TEMPORARY)
-
-    play(tmp_path, scene)
+            assert (await place_call(good_caller, number)).kind == isup.ANM
+        await asyncio.wait_for(asyncio.gather(*(caller.closed for caller in [*silent, partial])), 6)
+        assert (await place_call(good_caller, 60)).kind == isup.ANM
+        assert (await place_call(await platform.caller(), 61)).kind == isup.ANM
+        assert not platform.offices[0].standing & {call_reference(number) for number in range(1000, 1300)}
+
+    run_scenario(tmp_path, scenario)
+
+
+def test_dead_office_and_silent_office(tmp_path: Path) -> None:
+    async def scenario(platform: Platform) -> None:
+        office, other_office = platform.offices
+        caller = await platform.caller()
+        assert (await place_call(caller, 70, 1)).kind == isup.ANM
+        assert (await place_call(caller, 71, 2)).kind == isup.ANM
+        office.kill()
+        release = await caller.hear()
+        assert (release.kind, release.call, release.cause) == (isup.REL, call_reference(70), isup.TEMPORARY)
+        other_office.deaf = True
+        assert other_office.server is not None
+        other_office.server.close()  # open connections stay open, new ones fail
+        refused = await place_call(caller, 72, 2, wait=1200)
+        # Refused before the caller gives up.
+        assert (refused.kind, refused.call) == (isup.REL, call_reference(72))
+        release = await caller.hear(9)
+        assert (release.call, release.cause) == (call_reference(71), isup.TEMPORARY)
+
+    run_scenario(tmp_path, scenario)
 
 
 @pytest.mark.parametrize("fault", ["", "cut", "silent"])
-def test_a_drain_is_heard_through_a_change_log_in_trouble(tmp_path: Path, fault: str) -> None:
-    async def scene(w: World) -> None:
-        one, caller = w.offices[0], await w.caller()
-        assert (await call(caller, 80)).kind == isup.ANM
-        w.log.fault = fault
-        polls = len(w.log.polls)
-        w.log.tell(one.entry("draining"))
+def test_drain_is_noticed_despite_a_change_log_fault(tmp_path: Path, fault: str) -> None:
+    async def scenario(platform: Platform) -> None:
+        office, caller = platform.offices[0], await platform.caller()
+        assert (await place_call(caller, 80)).kind == isup.ANM
+        platform.change_log.fault = fault
+        polls = len(platform.change_log.polls)
+        platform.change_log.tell(office.entry("draining"))
         if fault:
-            await w.until(lambda: len(w.log.polls) > polls + 1)
-            w.log.fault = ""
-        await w.until(lambda: w.said("office 1 drains or is gone"))
-        before = one.count(isup.IAM)
-        assert (await call(caller, 81, wait=400)).kind == isup.REL
-        assert one.count(isup.IAM) == before
-        one.release(name(80))  # what stands there goes on to its end
-        assert (await caller.hear()).call == name(80)
-
-    play(tmp_path, scene)
-
-
-def test_a_new_configuration_moves_the_change_log(tmp_path: Path) -> None:
-    async def scene(w: World) -> None:
-        assert w.process is not None
-        old, w.log = w.log, ChangeLog()
-        await w.log.open()
-        w.log.events = list(old.events)
-        (w.folder / "config.json").write_text('{"half": ')
-        w.process.send_signal(signal.SIGHUP)
-        await w.until(lambda: w.said("configuration not read"))
-        assert (await call(await w.caller(), 84)).kind == isup.ANM  # the old one stays
-        w.configure()  # whole by now: read without another signal
-        await w.until(lambda: w.said("info configuration read"))
-        w.process.send_signal(signal.SIGHUP)
-        w.process.send_signal(signal.SIGHUP)
-        await w.until(lambda: bool(w.log.polls))
+            await platform.wait_until(lambda: len(platform.change_log.polls) > polls + 1)
+            platform.change_log.fault = ""
+        await platform.wait_until(lambda: platform.logged("office 1 drains or is gone"))
+        before = office.count(isup.IAM)
+        assert (await place_call(caller, 81, wait=400)).kind == isup.REL
+        assert office.count(isup.IAM) == before
+        office.release(call_reference(80))  # a standing call there continues until it is released
+        assert (await caller.hear()).call == call_reference(80)
+
+    run_scenario(tmp_path, scenario)
+
+
+def test_reloaded_configuration_changes_the_change_log(tmp_path: Path) -> None:
+    async def scenario(platform: Platform) -> None:
+        assert platform.process is not None
+        old, platform.change_log = platform.change_log, ChangeLog()
+        await platform.change_log.open()
+        platform.change_log.events = list(old.events)
+        (platform.folder / "config.json").write_text('{"half": ')
+        platform.process.send_signal(signal.SIGHUP)
+        await platform.wait_until(lambda: platform.logged("configuration not read"))
+        # The old configuration stays in force.
+        assert (await place_call(await platform.caller(), 84)).kind == isup.ANM
+        platform.configure()  # complete now: read without another signal
+        await platform.wait_until(lambda: platform.logged("info configuration read"))
+        platform.process.send_signal(signal.SIGHUP)
+        platform.process.send_signal(signal.SIGHUP)
+        await platform.wait_until(lambda: bool(platform.change_log.polls))
         old.close()
-        assert w.log.polls[0] == 1  # the numbers go on
-        w.log.tell(w.offices[1].entry("draining"))
-        await w.until(lambda: w.said("office 2 drains or is gone"))
-        assert (await call(await w.caller(), 85)).kind == isup.ANM
-
-    play(tmp_path, scene)
-
-
-def test_sigterm_answers_what_is_open_and_what_still_comes(tmp_path: Path) -> None:
-    async def scene(w: World) -> None:
-        assert w.process is not None
-        one, caller = w.offices[0], await w.caller()
-        assert (await call(caller, 90)).kind == isup.ANM
-        held: list[tuple[Any, Message]] = []
-        one.reply = lambda wire, m: held.append((wire, m))
-        caller.ask(name(91), 1, wait=3000)
-        await w.until(lambda: bool(held))
-        w.process.send_signal(signal.SIGTERM)
-        await w.until(lambda: w.said("info stopping"))
-        one.reply = one.answer
-        assert (await call(await w.caller(), 92)).kind == isup.ANM  # on a new connection
-        one.answer(*held[0])
-        assert (await caller.hear()).call == name(91)
-        assert await w.ended() == 0
-        assert one.standing == {name(90), name(91), name(92)}  # what stands goes on without us
-
-    play(tmp_path, scene)
-
-
-def test_started_anew_it_is_told_what_stands(tmp_path: Path) -> None:
-    async def scene(w: World) -> None:
-        assert w.process is not None
-        one, caller = w.offices[0], await w.caller()
+        assert platform.change_log.polls[0] == 1  # polled from the last sequence number on
+        platform.change_log.tell(platform.offices[1].entry("draining"))
+        await platform.wait_until(lambda: platform.logged("office 2 drains or is gone"))
+        assert (await place_call(await platform.caller(), 85)).kind == isup.ANM
+
+    run_scenario(tmp_path, scenario)
+
+
+def test_sigterm_serves_open_and_new_set_ups(tmp_path: Path) -> None:
+    async def scenario(platform: Platform) -> None:
+        assert platform.process is not None
+        office, caller = platform.offices[0], await platform.caller()
+        assert (await place_call(caller, 90)).kind == isup.ANM
+        unanswered: list[tuple[Any, Message]] = []
+        office.reply = lambda wire, message: unanswered.append((wire, message))
+        caller.ask(call_reference(91), 1, wait=3000)
+        await platform.wait_until(lambda: bool(unanswered))
+        platform.process.send_signal(signal.SIGTERM)
+        await platform.wait_until(lambda: platform.logged("info stopping"))
+        office.reply = office.answer
+        assert (await place_call(await platform.caller(), 92)).kind == isup.ANM  # on a new connection
+        office.answer(*unanswered[0])
+        assert (await caller.hear()).call == call_reference(91)
+        assert await platform.wait_for_exit() == 0
+        # Standing calls continue without the process.
+        assert office.standing == {call_reference(90), call_reference(91), call_reference(92)}
+
+    run_scenario(tmp_path, scenario)
+
+
+def test_standing_calls_are_reported_after_a_restart(tmp_path: Path) -> None:
+    async def scenario(platform: Platform) -> None:
+        assert platform.process is not None
+        office, caller = platform.offices[0], await platform.caller()
         for number in (95, 96):
-            assert (await call(caller, number)).kind == isup.ANM
-        w.process.kill()
-        w.process.wait()
-        w.process = None
-        await w.until(lambda: not one.wires)
-        (w.folder / "log").write_text("")
-        await w.start()
-        one.release(name(96))  # before anybody has told of it
-        caller = await w.caller()
+            assert (await place_call(caller, number)).kind == isup.ANM
+        platform.process.kill()
+        platform.process.wait()
+        platform.process = None
+        await platform.wait_until(lambda: not office.wires)
+        (platform.folder / "log").write_text("")
+        await platform.start()
+        office.release(call_reference(96))  # before the caller has reported the call
+        caller = await platform.caller()
         for number in (95, 96):
-            caller.ask(name(number), 1, figures="dest:1;width:1;via:-1;at:s-one")
-        assert (await caller.hear()).call == name(96)
-        one.release(name(95))
-        assert (await caller.hear()).call == name(95)
+            caller.ask(call_reference(number), 1, figures="dest:1;width:1;via:-1;at:s-one")
+        assert (await caller.hear()).call == call_reference(96)
+        office.release(call_reference(95))
+        assert (await caller.hear()).call == call_reference(95)
 
-    play(tmp_path, scene)
+    run_scenario(tmp_path, scenario)
 
 
 @pytest.mark.parametrize(
-    ("change", "said"),
+    ("change", "logged"),
     [
         ({"listen": "nowhere"}, "listen is 'nowhere'; allowed: host:port"),
         ({"changelog": None}, "changelog is None; allowed: host:port"),
         ({"seed": "xyz"}, "seed is 'xyz'; allowed: hexadecimal digits"),
         ({"limits": {"sockets": 3}}, "limits.sockets is 3; allowed: 64 to"),
-        ({"settings": {"classes": []}}, "settings.classes is no list of objects"),
-        ({"settings": {"classes": [{"name": "a"}, {"name": "a"}]}}, "a name is absent or there twice"),
+        ({"settings": {"classes": []}}, "settings.classes is not a list of objects"),
+        ({"settings": {"classes": [{"name": "a"}, {"name": "a"}]}}, "a class name is missing or duplicated"),
         ({"settings": SETTINGS | {"family_info": {"widths": [1, 2]}}}, "settings: 2 widths for 1 classes"),
         ({"settings": {"classes": [{"name": "a"}]}}, "each class needs a width"),
         ({"known": {"results": [{"seq": 1}]}}, "known: a result without seq, fleet or hosts"),
     ],
 )
-def test_a_configuration_that_cannot_be_used_ends_the_start(
-    tmp_path: Path, change: dict[str, Any], said: str
-) -> None:
-    path = World(tmp_path).configure(**{"known": {"seq": 0, "results": []}} | change)
+def test_invalid_configuration_ends_the_start(tmp_path: Path, change: dict[str, Any], logged: str) -> None:
+    path = Platform(tmp_path).configure(**{"known": {"seq": 0, "results": []}} | change)
     env = {**os.environ, "NODE_CONFIG": str(path)}
-    done = run_module("eiderstep.node", environ=env)
-    assert done.returncode == 2
-    assert said in done.stderr
-    assert len(done.stderr.splitlines()) == 1
+    result = run_module("eiderstep.node", environ=env)
+    assert result.returncode == 2
+    assert logged in result.stderr
+    assert len(result.stderr.splitlines()) == 1
 
 
 @pytest.mark.parametrize("path", [None, "/nowhere/config.json"])
-def test_no_configuration_ends_the_start(path: str | None) -> None:
-    env = {k: v for k, v in os.environ.items() if k != "NODE_CONFIG"} | (
+def test_missing_configuration_ends_the_start(path: str | None) -> None:
+    env = {key: value for key, value in os.environ.items() if key != "NODE_CONFIG"} | (
         {"NODE_CONFIG": path} if path else {}
     )
-    done = run_module("eiderstep.node", environ=env)
-    assert (done.returncode, len(done.stderr.splitlines())) == (2, 1)
-    assert "NODE_CONFIG" in done.stderr
+    result = run_module("eiderstep.node", environ=env)
+    assert (result.returncode, len(result.stderr.splitlines())) == (2, 1)
+    assert "NODE_CONFIG" in result.stderr
 
 
-def test_what_the_node_imports() -> None:
-    """Danger: memory under `run` is short; an import by way of another room costs megabytes for nothing."""
+def test_imports_of_the_call_server() -> None:
+    """The process has a small memory limit, and an unneeded package imported indirectly costs megabytes."""
     probe = "import sys, eiderstep.node.__main__; print(*sorted(m for m in sys.modules))"
-    done = subprocess.run([sys.executable, "-c", probe], cwd=ROOT, capture_output=True, text=True, check=True)
-    loaded = set(done.stdout.split())
-    for heavy in ("typer", "starlark", "structlog", "msgspec", "sqlite3", "hdrh", "numpy", "cryptography"):
-        assert heavy not in loaded
-    ours = {m.split(".")[1] for m in loaded if m.startswith("eiderstep.")}
-    assert ours == {"decide", "engine", "interface", "isup", "node", "reading", "registry", "server", "trust"}
-    assert not {m for m in loaded if m.startswith(("eiderstep.sip", "eiderstep.lab", "eiderstep.config"))}
+    result = subprocess.run(
+        [sys.executable, "-c", probe], cwd=ROOT, capture_output=True, text=True, check=True
+    )
+    loaded = set(result.stdout.split())
+    for package in ("typer", "starlark", "structlog", "msgspec", "sqlite3", "hdrh", "numpy", "cryptography"):
+        assert package not in loaded
+    own_packages = {module.split(".")[1] for module in loaded if module.startswith("eiderstep.")}
+    assert own_packages == {
+        "decide",
+        "engine",
+        "interface",
+        "isup",
+        "node",
+        "reading",
+        "registry",
+        "server",
+        "trust",
+    }
+    assert not {
+        module
+        for module in loaded
+        if module.startswith(("eiderstep.sip", "eiderstep.lab", "eiderstep.config"))
+    }
