--- a/eiderstep/node/bounds.py
+++ b/eiderstep/node/bounds.py
@@ -22,11 +22,11 @@
 class CallerConnection:
     """One connection from a caller."""
 
-    __slots__ = ("accepted_at", "has_spoken", "source")
+    __slots__ = ("accepted_at", "has_sent_message", "source")
 
     def __init__(self, source: str, now: int) -> None:
         self.source, self.accepted_at = source, now
-        self.has_spoken = False
+        self.has_sent_message = False
 
 
 class CallerLimits:
@@ -55,7 +55,7 @@
             (
                 other
                 for other, connection in self.connections.items()
-                if not connection.has_spoken and other != flow
+                if not connection.has_sent_message and other != flow
             ),
             None,
         )
@@ -68,7 +68,7 @@
         """Record a complete message on a connection."""
         connection = self.connections.get(flow)
         if connection is not None:
-            connection.has_spoken = True
+            connection.has_sent_message = True
             self.connections.move_to_end(flow)
 
     def charge_messages(self, now: int, flow: int, count: int) -> int:
@@ -98,6 +98,7 @@
         return min(int(excess / SOURCE_RATE * SECOND), MAX_READ_PAUSE)
 
     def remove(self, flow: int) -> None:
+        """Forget a closed connection; the rate of its source stays tracked."""
         self.connections.pop(flow, None)
 
     def silent_connections(self, now: int) -> list[int]:
@@ -105,5 +106,5 @@
         return [
             flow
             for flow, connection in self.connections.items()
-            if not connection.has_spoken and now - connection.accepted_at >= FIRST_MESSAGE_TIMEOUT
+            if not connection.has_sent_message and now - connection.accepted_at >= FIRST_MESSAGE_TIMEOUT
         ]
--- a/eiderstep/node/changelog.py
+++ b/eiderstep/node/changelog.py
@@ -94,6 +94,7 @@
         self.task = self.loop.create_task(self._poll())
 
     def stop(self) -> None:
+        """Cancel the poll in progress and close the connection."""
         if self.task is not None:
             self.task.cancel()
         if self.link is not None:
--- a/eiderstep/node/links.py
+++ b/eiderstep/node/links.py
@@ -20,11 +20,10 @@
 IDLE_TEST_DELAY = 1 * SECOND  # ns without data after which a link is tested
 LINK_TIMEOUT = 5 * SECOND // 2  # ns without data after which a tested link is closed
 SET_UP_TEST_DELAY = 100 * MS  # ns without data, with a set-up unanswered, after which a link is tested
-LINK_TEST_TIMEOUT = (
-    200 * MS
-)  # ns after an unanswered test; data on another link later than this proves it dead
+# Ns after an unanswered test; data on another link of the office after that time proves the tested link dead.
+LINK_TEST_TIMEOUT = 200 * MS
 OFFICE_TIMEOUT = 13 * SECOND // 2  # ns without data or link after which calls standing at an office are cut
-TEST_REFERENCE = f"{1:016x}"
+TEST_REFERENCE = f"{1:016x}"  # call reference of link tests
 
 
 class Peer:
@@ -97,6 +96,7 @@
         return True
 
     def link_lost(self, connection: Wire) -> None:
+        """Drop a lost link; an office that is gone is removed with its last link."""
         peer = self.peers.get(connection.office)
         if peer is None or connection not in peer.connections:
             return
@@ -125,6 +125,7 @@
                 self._remove_if_idle(peer)
 
     def _set_up_overdue(self, now: int, connection: Wire) -> bool:
+        """Whether a set-up is unanswered, and the link without data, for SET_UP_TEST_DELAY."""
         oldest = self.node.calls.oldest_set_up(connection.flow)
         return oldest is not None and now - max(oldest, connection.last_received_at) >= SET_UP_TEST_DELAY
 
@@ -133,14 +134,15 @@
         """Whether the office has sent data on another link LINK_TEST_TIMEOUT after this one was tested.
 
         A connection that is open but dead holds on to its set-ups.  The module takes their age for a wait at
-        that office and sheds calls for it.  The guard costs a reconnect where an office answers tests late.
-        A stall of this process gives no false result: it delays the data of all links alike.
+        that office and sheds calls of every caller.  The guard costs a reconnect where an office answers
+        late.  A stall of this process gives no false result: it delays the data of all links alike.
         """
         return any(
             other.last_received_at - connection.tested_at >= LINK_TEST_TIMEOUT for other in peer.connections
         )
 
     def close(self) -> None:
+        """Stop dialling; open links stay open."""
         for peer in self.peers.values():
             for task in peer.dial_tasks:
                 task.cancel()
@@ -155,6 +157,7 @@
             self._remove(peer)
 
     def _remove(self, peer: Peer) -> None:
+        """Stop dialling an office, close its links and cut the calls that stand there."""
         self.peers.pop(peer.office, None)
         for task in peer.dial_tasks:
             task.cancel()
--- a/eiderstep/node/mapping.py
+++ b/eiderstep/node/mapping.py
@@ -15,7 +15,7 @@
 MAX_WAIT_FACTOR = 4  # limit of a caller's wait, as a multiple of the longest give-up time of a class
 
 # Field names of the platform's load reports, and the names that `read_report` expects.
-REPORT_NAMES = {
+REPORT_FIELD_NAMES = {
     "x0": "idle", "x1": "circuits", "queue": "waiting", "qps": "max_rate", "inflight": "active",
     "latency_ms": "avg_ms", "util": "cpu", "eps": "reduce",
 }  # fmt: skip
@@ -104,7 +104,7 @@
     pairs = parse_pairs(message.text_parameter(isup.REPORT) or "?")
     if pairs is None:
         return None
-    return read_report({REPORT_NAMES.get(name, name): value for name, value in pairs.items()})
+    return read_report({REPORT_FIELD_NAMES.get(name, name): value for name, value in pairs.items()})
 
 
 def attempt_outcome(message: Message) -> tuple[io.Outcome, io.Cause]:
--- a/eiderstep/node/server.py
+++ b/eiderstep/node/server.py
@@ -34,14 +34,13 @@
 SHUTDOWN_DELAY = 1.0  # seconds after SIGTERM during which new set-ups are accepted
 BACKLOG = 512  # of the listening socket
 READ_SIZE = 16 * 1024  # bytes; the most that is read from one connection at a time
-CONFIG_TRIES, CONFIG_RETRY_DELAY = (
-    8,
-    0.25,
-)  # attempts to read the configuration on SIGHUP; seconds between them
+# Attempts to read the configuration on SIGHUP, and seconds between them.
+CONFIG_TRIES, CONFIG_RETRY_DELAY = 8, 0.25
 CLOSE_TIMEOUT = SECOND // 2  # ns after which a closing connection is aborted, unread data or not
 
 
 def write_line(line: str) -> None:
+    """Write a log line to standard error."""
     print(line, file=sys.stderr, flush=True)
 
 
@@ -96,6 +95,7 @@
         return self.latest_time
 
     def next_flow(self) -> int:
+        """The number of a new connection."""
         self.last_flow += 1
         return self.last_flow
 
@@ -136,8 +136,8 @@
         """Handle SIGHUP: reload the configuration, which may name another change log.
 
         An unreadable file leaves the old configuration in force.  The file may be half written at that
-        moment, and the signal is sent only once; if the reload failed for good, the old change log would
-        close and drains would go unnoticed.  So the read is retried a few times.
+        moment, and the signal is sent only once.  The old change log then closes, so without the new address
+        drains would go unnoticed.  So the read is retried a few times.
         """
         try:
             new_config = configuration.read_config(self.environ)
@@ -161,6 +161,7 @@
             self.log("info", "stopping", open=sum(len(a) for a in self.calls.asked.values()))
 
     def shut_down(self) -> None:
+        """Close the listener and all connections, and resolve `stopped`."""
         if not self.stopped.done():
             self.change_log.stop()
             self.links.close()
@@ -174,6 +175,7 @@
     # -- connections ---------------------------------------------------------------------------------------
 
     def caller_connected(self, connection: Wire) -> None:
+        """Register a caller's connection, and abort one if there are too many."""
         self.connections[connection.flow] = connection
         self.calls.caller_connected(connection.flow, connection.source)
         evicted = self.caller_limits.admit(
@@ -184,6 +186,7 @@
             self.connections[evicted].abort()
 
     def link_up(self, connection: Wire) -> None:
+        """Register a new link to an office; abort it if it is no longer needed."""
         if not self.links.link_up(connection):
             connection.abort()
             return
@@ -201,6 +204,7 @@
             self._schedule_flush()
 
     def connection_lost(self, connection: Wire) -> None:
+        """Deregister a lost connection."""
         self.connections.pop(connection.flow, None)
         if connection.office:
             self.calls.link_lost(self.now(), connection.flow)
@@ -214,12 +218,12 @@
         """Handle messages of one connection, in order."""
         now = self.now()
         if connection.office:
-            self._from_office(now, connection, items)
+            self._handle_office_messages(now, connection, items)
         else:
-            self._from_caller(now, connection, items)
+            self._handle_caller_messages(now, connection, items)
         self._schedule_flush()
 
-    def _from_office(self, now: int, connection: Wire, items: list[Message | Unreadable]) -> None:
+    def _handle_office_messages(self, now: int, connection: Wire, items: list[Message | Unreadable]) -> None:
         for item in items:
             usable = isinstance(item, Message) and (
                 connection.flow not in self.calls.office_by_link
@@ -232,7 +236,7 @@
                 connection.abort()
                 return
 
-    def _from_caller(self, now: int, connection: Wire, items: list[Message | Unreadable]) -> None:
+    def _handle_caller_messages(self, now: int, connection: Wire, items: list[Message | Unreadable]) -> None:
         unread_time = self._unread_time(now)
         delay = self.caller_limits.charge_messages(now, connection.flow, len(items))
         if delay:
--- a/eiderstep/node/wires.py
+++ b/eiderstep/node/wires.py
@@ -95,5 +95,6 @@
             self.transport.close()
 
     def abort(self) -> None:
+        """Close at once; data not yet written is discarded."""
         if self.transport is not None:
             self.transport.abort()
--- a/tests/node_rig.py
+++ b/tests/node_rig.py
@@ -40,14 +40,14 @@
 
 
 def set_up(
-    call: str = CALL_A, wait: int = 1500, pairs: str = "dest:1;width:1;via:-1", **more: bytes
+    call: str = CALL_A, wait: int = 1500, pairs: str = "dest:1;width:1;via:-1", **overrides: bytes
 ) -> Message:
-    class_name = more.pop("class_name", b"voice")
+    class_name = overrides.pop("class_name", b"voice")
     parameters = {
         isup.CLASS: class_name, isup.PATIENCE: str(wait).encode(), isup.NUMBER: b"7f3a9c21e0b4d655",
         isup.FIGURES: pairs.encode(), isup.DESCRIPTION: b"words of the caller\r\n",
     }  # fmt: skip
-    parameters |= {getattr(isup, name.upper()): value for name, value in more.items()}
+    parameters |= {getattr(isup, name.upper()): value for name, value in overrides.items()}
     return Message(isup.IAM, call, parameters)
 
 
@@ -69,7 +69,7 @@
         self.now = START
         self.calls = CallTable(SETTINGS, ("voice", "wide"), 500 * MS, 1, ScriptedDecider)
         assert isinstance(self.calls.mind, ScriptedDecider)
-        self.mind = self.calls.mind
+        self.decider = self.calls.mind
         self.effects: list[fx.Effect] = []
         up = io.OfficeState.UP
         self.calls.update_offices(
@@ -81,7 +81,7 @@
 
     def flush(self, *actions: io.Action) -> list[tuple[int, Message]]:
         """Flush, with `actions` as the decider's answer; return the messages sent, with their flows."""
-        self.mind.next_actions += actions
+        self.decider.next_actions += actions
         self.effects += self.calls.flush(self.now)
         sent = []
         for flow, data in self.calls.outgoing:
@@ -99,8 +99,8 @@
 
     def take_events(self, kind: type) -> list[io.Event]:
         """Remove and return the events of a type that the decider has received."""
-        found = [event for event in self.mind.events if isinstance(event, kind)]
-        self.mind.events = [event for event in self.mind.events if not isinstance(event, kind)]
+        found = [event for event in self.decider.events if isinstance(event, kind)]
+        self.decider.events = [event for event in self.decider.events if not isinstance(event, kind)]
         return found
 
     def offer(self, call: str = CALL_A, office: str = OFFICE) -> list[tuple[int, Message]]:
@@ -112,7 +112,7 @@
         self.offer(call)
         assert self.calls.handle_office_message(self.now, LINK, answer(call))
         self.flush()
-        self.mind.events.clear()
+        self.decider.events.clear()
 
     def holds_nothing(self) -> bool:
         """Whether nothing is held of any call after the longest time that a release is kept."""
--- a/tests/test_node_calls.py
+++ b/tests/test_node_calls.py
@@ -290,8 +290,8 @@
     assert table.flush() == []  # a report is not answered
     assert table.calls.handle_office_message(table.now, LINK, release())
     assert (CALLER, release()) in table.flush()
-    assert table.mind.events == [
-        event for event in table.mind.events if not isinstance(event, io.AttemptEnded)
+    assert table.decider.events == [
+        event for event in table.decider.events if not isinstance(event, io.AttemptEnded)
     ]
     assert table.holds_nothing()
 
@@ -365,11 +365,11 @@
 
 def test_group_state_is_reported_as_unsolicited() -> None:
     table = CallTableRig()
-    table.mind.events.clear()
+    table.decider.events.clear()
     state = Message(isup.STATE, isup.NO_CALL, {isup.REPORT: b"x0:7;x1:40;queue:-1;qps:-1"})
     assert table.calls.handle_office_message(table.now, LINK, state)
     table.flush()
-    assert table.mind.events == [io.OfficeHeard(OFFICE, True, True, 0, io.LoadReport(free=7, size=40))]
+    assert table.decider.events == [io.OfficeHeard(OFFICE, True, True, 0, io.LoadReport(free=7, size=40))]
 
 
 def test_connection_test_is_answered_and_unexpected_types_close_the_connection() -> None:
@@ -490,7 +490,7 @@
     table = CallTableRig()
     table.calls.link_up(table.now, OFFICE, OTHER_LINK)
     table.flush()
-    table.mind.events.clear()
+    table.decider.events.clear()
 
     def apply_state(flow: int, free: int) -> int:
         report = f"idle:{free};circuits:40".encode()
