--- a/eiderstep/registry/client.py
+++ b/eiderstep/registry/client.py
@@ -20,7 +20,7 @@
 from eiderstep.registry.http import Failed, Link, Response, Times, Trace
 from eiderstep.registry.model import Listing
 from eiderstep.registry.pace import AddressPool, Ask, PollSchedule
-from eiderstep.registry.table import Applied, RegistryTable, Snapshot
+from eiderstep.registry.table import ApplyResult, RegistryTable, Snapshot
 from eiderstep.registry.view import Policy, View
 
 SECOND = 1_000_000_000
@@ -88,8 +88,8 @@
         if kind is Ask.FULL and self.pace.table_address != name:
             self.table, self.etags = RegistryTable(), {}
         try:
-            response = await self.get(name, kind)
-            applied, snapshot = self.apply(response, kind, partial)
+            response = await self.fetch(name, kind)
+            applied, snapshot = self.apply_response(response, kind, partial)
         except (Failed, InvalidResponse) as problem:
             now = client.now()
             client.addresses.mark_failed(now, name)
@@ -99,14 +99,14 @@
         client.polls[kind] += 1
         client.bytes[kind] += response.received_bytes
         first = self.pace.mismatches == 0  # log once, not at each poll with the same result
-        if applied is Applied.STALE:
+        if applied is ApplyResult.STALE:
             if first:
                 client.note("registry answered with an older version", {"registry": name})
         else:
             client.on_snapshot(name, snapshot)
-        if applied is Applied.MISMATCH and first:
+        if applied is ApplyResult.MISMATCH and first:
             client.note("registry hash mismatch", {"registry": name, "asked": kind.value})
-        return self.pace.on_response(now, name, kind, hash_matches=applied is Applied.TAKEN)
+        return self.pace.on_response(now, name, kind, hash_matches=applied is ApplyResult.TAKEN)
 
     def path(self, kind: Ask) -> str:
         settings = self.client.settings
@@ -117,7 +117,7 @@
             )
         return f"{settings.path}/apps" + ("/delta" if kind is Ask.DELTA else "")
 
-    async def get(self, name: str, kind: Ask) -> Response:
+    async def fetch(self, name: str, kind: Ask) -> Response:
         """Requests a list from the address `name`.  Raises Failed."""
         settings, path = self.client.settings, self.path(kind)
         headers = {"Accept": ACCEPT[settings.form], "Accept-Encoding": "gzip"}
@@ -134,17 +134,17 @@
 
         response = await self.link(name).ask("GET", path, headers, open_sink=open_sink)
         if response.status == NOT_FOUND and settings.ask != "all":
-            return response  # the app has no instance: an empty list, which the view checks for plausibility
+            return response  # no instance of the app: an empty list, left to the rules of the view
         if response.status not in (OK, NOT_MODIFIED):
             raise Failed(f"status {response.status}")
         return response
 
-    def apply(self, response: Response, kind: Ask, partial: bool) -> tuple[Applied, Snapshot]:
+    def apply_response(self, response: Response, kind: Ask, partial: bool) -> tuple[ApplyResult, Snapshot]:
         """Applies a response to the table.  Raises InvalidResponse."""
         path = self.path(kind)
         if response.status == NOT_MODIFIED:
             applied, snapshot = (
-                Applied.TAKEN, Snapshot(dict(self.table.instances), {}, False, self.table.clock),
+                ApplyResult.TAKEN, Snapshot(dict(self.table.instances), {}, False, self.table.clock_ms),
             )  # fmt: skip
         else:
             listing = response.sink.finish() if response.sink is not None else Listing()
@@ -155,10 +155,10 @@
                 applied, snapshot = self.table.apply_delta(listing)
                 self.etags.pop(self.path(Ask.FULL), None)  # the table no longer equals that full list
             etag = response.headers.get("etag", "")
-            if etag and len(etag) < 256 and applied is Applied.TAKEN:
+            if etag and len(etag) < 256 and applied is ApplyResult.TAKEN:
                 self.etags[path] = etag
-        clock = max(snapshot.clock, parse_date(response.headers))
-        return applied, Snapshot(snapshot.instances, snapshot.departed, snapshot.full, clock)
+        clock_ms = max(snapshot.clock_ms, parse_date(response.headers))
+        return applied, Snapshot(snapshot.instances, snapshot.departed, snapshot.full, clock_ms)
 
 
 class RegistryClient:
--- a/eiderstep/registry/decode.py
+++ b/eiderstep/registry/decode.py
@@ -99,7 +99,7 @@
 
     def add_instance(self, found: Instance) -> None:
         listing = self.listing
-        listing.clock = max(listing.clock, found.updated_ms, found.renewed_ms, found.registered_ms)
+        listing.clock_ms = max(listing.clock_ms, found.updated_ms, found.renewed_ms, found.registered_ms)
         if found.app == self.app:
             held = listing.instances.get(found.id)
             # A delta can list one id twice, an earlier incarnation after the later one.
--- a/eiderstep/registry/model.py
+++ b/eiderstep/registry/model.py
@@ -63,7 +63,7 @@
     version: int | None = None
     hashcode: str | None = None
     skipped: int = 0  # instances without an id
-    clock: int = 0  # the newest time of the registry's own clock in the response (ms)
+    clock_ms: int = 0  # the newest time of the registry's own clock in the response (ms)
 
 
 def hash_code(statuses: Iterable[Status]) -> str:
--- a/eiderstep/registry/registrant.py
+++ b/eiderstep/registry/registrant.py
@@ -38,7 +38,7 @@
         self.lease = Lease(entry, rng, started_ms)
         self.wake = asyncio.Event()
         self.task: asyncio.Task[None] | None = None
-        self.may_cancel = asyncio.Event()
+        self.removal_allowed = asyncio.Event()
         self.over = loop.create_future()
 
     def now(self) -> int:
@@ -54,7 +54,7 @@
 
     def cancel(self) -> None:
         """Allows the entry to be removed, once all calls are answered and released."""
-        self.may_cancel.set()
+        self.removal_allowed.set()
         self.wake.set()
 
     def stop(self) -> None:
@@ -86,7 +86,7 @@
         lease = self.lease
         while True:
             if lease.state is LeaseState.DOWN:
-                await self.may_cancel.wait()
+                await self.removal_allowed.wait()
             request = lease.next_request()
             if request is None:
                 break
--- a/eiderstep/registry/table.py
+++ b/eiderstep/registry/table.py
@@ -13,7 +13,7 @@
 from eiderstep.registry.model import Action, Instance, Listing, Status, hash_code
 
 
-class Applied(Enum):
+class ApplyResult(Enum):
     """Result of applying a response to the table."""
 
     TAKEN = "taken"
@@ -26,13 +26,13 @@
     """What one registry lists after a response.
 
     `departed` holds the instances that this response removed, as last listed; `full` tells whether the
-    response was a full list; `clock` is the registry's own time (ms).
+    response was a full list; `clock_ms` is the registry's own time (ms).
     """
 
     instances: dict[str, Instance]
     departed: dict[str, Instance]
     full: bool
-    clock: int
+    clock_ms: int
 
 
 class RegistryTable:
@@ -42,14 +42,14 @@
         self.instances: dict[str, Instance] = {}
         self.others: dict[tuple[str, str], Status] = {}
         self.version: int | None = None
-        self.clock = 0
+        self.clock_ms = 0
         self.has_full_list = False
         self.mismatches = 0  # in a row
 
     def hash(self) -> str:
         return hash_code([*(i.status for i in self.instances.values()), *self.others.values()])
 
-    def apply_full(self, listing: Listing, partial: bool = False) -> tuple[Applied, Snapshot]:
+    def apply_full(self, listing: Listing, partial: bool = False) -> tuple[ApplyResult, Snapshot]:
         """Replaces the table by a full list.  `partial`: the list of one app or vip, which has no hash."""
         before = self.instances
         self.instances = {
@@ -59,14 +59,14 @@
             key: status for key, (status, action) in listing.others.items() if action is not Action.DELETED
         }
         self.version = listing.version if listing.version is not None else self.version
-        self.clock = max(self.clock, listing.clock)
+        self.clock_ms = max(self.clock_ms, listing.clock_ms)
         self.has_full_list = True
         mismatch = not partial and listing.hashcode is not None and listing.hashcode != self.hash()
         self.mismatches = self.mismatches + 1 if mismatch else 0
         departed = {name: found for name, found in before.items() if name not in self.instances}
-        return Applied.MISMATCH if mismatch else Applied.TAKEN, self._snapshot(departed, full=True)
+        return ApplyResult.MISMATCH if mismatch else ApplyResult.TAKEN, self._snapshot(departed, full=True)
 
-    def apply_delta(self, listing: Listing) -> tuple[Applied, Snapshot]:
+    def apply_delta(self, listing: Listing) -> tuple[ApplyResult, Snapshot]:
         """Applies a delta.
 
         A delta of a lower version than the table's is ignored: it was made before the full list (a faster
@@ -74,10 +74,10 @@
         again when the registry restarts; the next full list then sets the new count.
         """
         if not self.has_full_list:
-            return Applied.MISMATCH, self._snapshot({}, full=False)
+            return ApplyResult.MISMATCH, self._snapshot({}, full=False)
         if listing.version is not None and self.version is not None and listing.version < self.version:
             self.mismatches += 1
-            return Applied.STALE, self._snapshot({}, full=False)
+            return ApplyResult.STALE, self._snapshot({}, full=False)
         departed: dict[str, Instance] = {}
         for name, found in listing.instances.items():
             held = self.instances.get(name)
@@ -94,13 +94,13 @@
             else:
                 self.others[key] = status
         self.version = listing.version if listing.version is not None else self.version
-        self.clock = max(self.clock, listing.clock)
+        self.clock_ms = max(self.clock_ms, listing.clock_ms)
         mismatch = listing.hashcode is not None and listing.hashcode != self.hash()
         self.mismatches = self.mismatches + 1 if mismatch else 0
-        return Applied.MISMATCH if mismatch else Applied.TAKEN, self._snapshot(departed, full=False)
+        return ApplyResult.MISMATCH if mismatch else ApplyResult.TAKEN, self._snapshot(departed, full=False)
 
     def _snapshot(self, departed: dict[str, Instance], full: bool) -> Snapshot:
-        return Snapshot(dict(self.instances), departed, full, self.clock)
+        return Snapshot(dict(self.instances), departed, full, self.clock_ms)
 
 
 def _with_latest_renewal(held: Instance | None, found: Instance) -> Instance:
--- a/eiderstep/registry/view.py
+++ b/eiderstep/registry/view.py
@@ -177,7 +177,7 @@
         listed = self._parse_listed(snapshot)
         before = registry.listed
         if snapshot.full:
-            registry.expired = self._expired_leases(listed, snapshot.clock)
+            registry.expired = self._expired_leases(listed, snapshot.clock_ms)
         for instance_id, renewed_ms in list(registry.expired.items()):
             found = listed.get(instance_id)
             if found is None or found.instance.renewed_ms > renewed_ms:
@@ -261,13 +261,13 @@
                 self._note("instance skipped", id=found.id, why=parsed)
         return listed
 
-    def _expired_leases(self, listed: dict[str, Processor], clock: int) -> dict[str, int]:
+    def _expired_leases(self, listed: dict[str, Processor], clock_ms: int) -> dict[str, int]:
         """Rule 6: id to last renewal time, by the times of one response alone."""
         expired = {
             processor.id: processor.instance.renewed_ms
             for processor in listed.values()
             if processor.instance.renewed_ms and processor.instance.lease_ms
-            and clock - processor.instance.renewed_ms > LEASE_EXPIRY_FACTOR * processor.instance.lease_ms
+            and clock_ms - processor.instance.renewed_ms > LEASE_EXPIRY_FACTOR * processor.instance.lease_ms
         }  # fmt: skip
         if self._is_mass_departure(len(expired), len(listed)):
             self._note("most leases expired, ignored: registry receives no renewals", leases=len(expired))
@@ -280,7 +280,7 @@
         if incarnation is None or processor.revision > incarnation.latest.revision:
             if incarnation is None or processor.started_ms != incarnation.latest.started_ms:
                 was_up = incarnation is not None and incarnation.was_up
-                started = self._start_time(now, processor, snapshot.clock, incarnation)
+                started = self._start_time(now, processor, snapshot.clock_ms, incarnation)
                 incarnation = self.incarnations[processor.id] = Incarnation(
                     processor, started, now, first_listed_at=now, was_up=was_up
                 )
@@ -324,9 +324,9 @@
                 id=incarnation.latest.id, exchange=incarnation.latest.number, registry=name,
             )  # fmt: skip
 
-    def _start_time(self, now: int, processor: Processor, clock: int, previous: Incarnation | None) -> int:
+    def _start_time(self, now: int, processor: Processor, clock_ms: int, previous: Incarnation | None) -> int:
         """Rule 7: the start in ns of the local clock, or 0 if it was before that clock's origin."""
-        age = max(clock - processor.started_ms, 0) * MS if clock else 0
+        age = max(clock_ms - processor.started_ms, 0) * MS if clock_ms else 0
         for other_id, listed_at in self.ids_by_address.get(processor.office, {}).items():
             if other_id != processor.id:
                 age = min(age, now - listed_at)
--- a/tests/test_eureka.py
+++ b/tests/test_eureka.py
@@ -625,7 +625,7 @@
         self.previously_up = {
             instance_id: found for instance_id, found in kept.items() if found.status.value == "UP"
         }
-        return original_on_snapshot(self, now, name, Snapshot(kept, {}, snapshot.full, snapshot.clock))
+        return original_on_snapshot(self, now, name, Snapshot(kept, {}, snapshot.full, snapshot.clock_ms))
 
     monkeypatch.setattr(view_module.View, "previously_up", {}, raising=False)
     monkeypatch.setattr(view_module.View, "on_snapshot", delayed_on_snapshot)
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -15,7 +15,7 @@
 from eiderstep.registry.lease import Lease, LeaseState, Registration
 from eiderstep.registry.model import Action, Instance, Listing, Status, hash_code
 from eiderstep.registry.pace import MAX_FULL_GAP_POLLS, AddressPool, Ask, PollSchedule
-from eiderstep.registry.table import Applied, RegistryTable, Snapshot
+from eiderstep.registry.table import ApplyResult, RegistryTable, Snapshot
 from eiderstep.registry.view import LEASE_EXPIRY_FACTOR, Policy, View
 from eiderstep.standin.eureka import Record, hash_of, render
 
@@ -147,17 +147,17 @@
 
 
 def make_listing(*instances: Instance, version: int = 1, hashcode: str | None = None) -> Listing:
-    return Listing({i.id: i for i in instances}, version=version, hashcode=hashcode, clock=REGISTRY_NOW_MS)
+    return Listing({i.id: i for i in instances}, version=version, hashcode=hashcode, clock_ms=REGISTRY_NOW_MS)
 
 
 def test_deltas_update_the_table_and_check_its_hash() -> None:
     table = RegistryTable()
-    assert table.apply_delta(make_listing(make_instance("a1")))[0] is Applied.MISMATCH, (
+    assert table.apply_delta(make_listing(make_instance("a1")))[0] is ApplyResult.MISMATCH, (
         "a delta before the first full list is not applied"
     )
     assert (
         table.apply_full(make_listing(make_instance("a1"), make_instance("a2"), hashcode="UP_2_"))[0]
-        is Applied.TAKEN
+        is ApplyResult.TAKEN
     )
     delta = make_listing(
         make_instance("a2", dirty_ms=101, action=Action.DELETED), make_instance("a3", Status.DOWN),
@@ -165,8 +165,8 @@
     )  # fmt: skip
     for _ in range(3):  # a registry repeats the same delta for minutes
         applied, snapshot = table.apply_delta(delta)
-        assert applied is Applied.TAKEN and set(snapshot.instances) == {"a1", "a3"}
-    assert table.apply_delta(make_listing(version=3, hashcode="UP_9_"))[0] is Applied.MISMATCH
+        assert applied is ApplyResult.TAKEN and set(snapshot.instances) == {"a1", "a3"}
+    assert table.apply_delta(make_listing(version=3, hashcode="UP_9_"))[0] is ApplyResult.MISMATCH
     assert table.mismatches == 1
 
 
@@ -176,7 +176,7 @@
     applied, snapshot = table.apply_delta(
         make_listing(make_instance("a1", Status.DOWN), version=5, hashcode="DOWN_1_")
     )
-    assert applied is Applied.STALE and snapshot.instances["a1"].status is Status.UP
+    assert applied is ApplyResult.STALE and snapshot.instances["a1"].status is Status.UP
     table.apply_delta(
         make_listing(make_instance("a1", Status.DOWN, dirty_ms=99), version=9, hashcode="UP_1_")
     )
