--- a/eiderstep/engine/__init__.py
+++ b/eiderstep/engine/__init__.py
@@ -1,1 +1,1 @@
-"""The call engine: what happened on the wire becomes the module's events, its actions become messages."""
+"""The SIP call engine: turns network input into module events, and module actions into messages."""
--- a/eiderstep/engine/core.py
+++ b/eiderstep/engine/core.py
@@ -1,9 +1,11 @@
-"""The call engine: sans-I/O, no clock, no routing decision.
+"""The SIP call engine.  It does no I/O, reads no clock and makes no routing decision.
 
-In: messages, lost and new connections, news of the register, the time.  Out: `out` (flow, bytes) and the
-effects that `flush` returns.  Every call is offered to `Controller.handle` and every action of it is carried
-out as it stands.  Requests that come in: requests.py; what is read from an INVITE: offers.py; what the
-module's words mean in SIP: mapping.py.
+Input: messages, new and lost connections, updates of the list of exchanges, and the time (ns).
+Output: bytes to send in `out`, as (flow, bytes), and the effects that `flush` returns.
+
+Every call is offered to the decision module (`Controller.handle`), and each of its actions is carried out
+unchanged.  Incoming requests are handled in requests.py, INVITEs are read in offers.py, and mapping.py
+translates between SIP and the terms of the module.
 """
 
 from __future__ import annotations
@@ -18,8 +20,8 @@
 from eiderstep.engine import effects as fx
 from eiderstep.engine import mapping
 from eiderstep.engine.calls import Attempt, AttemptState, Call, CallState
-from eiderstep.engine.legs import OPEN
-from eiderstep.engine.requests import Requests
+from eiderstep.engine.legs import OPEN_STATES
+from eiderstep.engine.requests import RequestHandler
 from eiderstep.engine.timers import Mind
 from eiderstep.sip import fields
 from eiderstep.sip.dialog import Dialog, acknowledge
@@ -29,12 +31,13 @@
 from eiderstep.trust.party import Party
 from eiderstep.trust.rules import Act, refusal
 
-NEVER = 2**63
-BEGINNING = ("INVITE", "OPTIONS", "NOTIFY", "REGISTER", "SUBSCRIBE", "MESSAGE")
+NEVER = 2**63  # ns, later than any due time
+# Requests that start something new; they are refused when a source is over its rate.
+STARTING_METHODS = ("INVITE", "OPTIONS", "NOTIFY", "REGISTER", "SUBSCRIBE", "MESSAGE")
 
 
-class ProbeOut:
-    """An OPTIONS that the module asked for."""
+class PendingProbe:
+    """An OPTIONS request sent for a `Probe` of the module."""
 
     __slots__ = ("office", "sent_at")
 
@@ -42,51 +45,58 @@
         self.office, self.sent_at = office, sent_at
 
 
-class Engine(Requests):
-    """One exchange's calls.  `here` is the `host:port` that goes into Via and Contact."""
+class Engine(RequestHandler):
+    """The calls of one exchange.  `own_address`: the `host:port` that goes into Via and Contact."""
 
     def __init__(
-        self, settings: ServerSettings, here: str, mind: Mind | None = None, ids: Random | None = None
+        self,
+        settings: ServerSettings,
+        own_address: str,
+        controller_factory: Mind | None = None,
+        ids: Random | None = None,
     ) -> None:
-        """`mind`: decides in place of the module.  `ids`: source of identities, the seed's if None."""
-        super().__init__(settings, here, ids)
-        decider: Mind = mind or Controller
-        self.controller = decider(settings.module(), settings.seed)
-        self.offices: dict[str, int] = {}
-        self.current: dict[int, str] = {}
+        """`controller_factory`: `Controller` if None.  `ids`: random source, see `CallTable`."""
+        super().__init__(settings, own_address, ids)
+        make_controller: Mind = controller_factory or Controller
+        self.controller = make_controller(settings.module(), settings.seed)
+        self.offices: dict[str, int] = {}  # exchange numbers by address
+        self.current_office: dict[int, str] = {}  # address last listed as up, by exchange number
         self.finished = False
 
     # -- inputs --------------------------------------------------------------------------------------------
 
     def begin(self, now: int) -> None:
-        """Start with the exchanges that the settings name, as last seen: the register tells what is stale."""
+        """Start with the exchanges of the settings.  They may be stale until the register sends its list."""
         if self.settings.lines:
             self.effects.append(fx.Dial(self.settings.lines))
         self.news(now, io.ListKind.REMEMBERED, self.settings.named())
 
     def message(self, now: int, flow: int, item: Message | BadMessage, reliable: bool = True) -> None:
-        """A message, or what is wrong with one, from a connection."""
+        """Handle a message from a connection, or the report of a malformed one."""
         if refusal(Act.ANYTHING, self.who(flow)):
-            self._stranger(flow, item)
+            self._reject_unknown_sender(flow, item)
             return
         if isinstance(item, BadMessage):
-            self._bad(flow, item)
+            self._reject_malformed(flow, item)
             return
         self.transactions.receive(now, flow, item, reliable)
-        self._take(now)
+        self._process_transaction_events(now)
 
     def over_rate(self, now: int, flow: int, item: Message | BadMessage, reliable: bool, wait: int) -> None:
-        """A message of a source that is over its rate: what begins something is told to come back, at once
-        and without state; what ends something, or answers, is taken."""
-        if isinstance(item, BadMessage) or item.status or item.method not in BEGINNING:
+        """Handle a message of a source that is over its rate limit.
+
+        A request that starts something new gets a stateless 503 with the wait (ns); other requests and
+        responses are handled as usual.
+        """
+        if isinstance(item, BadMessage) or item.status or item.method not in STARTING_METHODS:
             self.message(now, flow, item, reliable)
             return
         self._count("over its rate")
         self._log("warning", "over its rate", flow=flow)
-        self._stateless(flow, item, 503, wait)
+        self._respond_statelessly(flow, item, 503, wait)
 
     def link_up(self, now: int, address: str, flow: int) -> None:
-        """A connection that we dialled stands."""
+        """A connection that this end has opened to `address` is up."""
         self.links[address] = flow
         if flow not in self.parties:
             self.meet(flow, self.at_link(address))
@@ -94,88 +104,99 @@
         self._log("info", "link up", address=address)
 
     def at_link(self, address: str) -> Party:
-        """Who answers at an address that we dial over a plain link: the exchange that the list has there."""
+        """The party at an address to which a link without TLS is opened: the exchange listed there."""
         number = self.offices.get(address, -1)
-        own = self.book.own if address == self.settings.lines else None
-        return Party(frozenset([number] if number >= 0 else []), own, address)
+        caller = self.book.own if address == self.settings.lines else None
+        return Party(frozenset([number] if number >= 0 else []), caller, address)
 
     def flow_lost(self, now: int, flow: int) -> None:
-        """A connection is lost: what was open on it fails, what stood on it is cut."""
-        for address, mine in list(self.links.items()):
-            if mine == flow:
+        """A connection is lost: its open transactions fail and its standing calls are cut."""
+        for address, link_flow in list(self.links.items()):
+            if link_flow == flow:
                 del self.links[address]
                 self._measure_link(now, self.offices.get(address, -1))
                 if address in self.offices or address == self.settings.lines:
                     self.effects.append(fx.Dial(address))
                 self._log("warning", "link lost", address=address, standing=len(self.on_flow.get(flow, ())))
         self.transactions.broken(now, flow)
-        self._take(now)
+        self._process_transaction_events(now)
         for leg in list(self.on_flow.pop(flow, {})):
-            self._cut(now, leg, fields.NETWORK_OUT, lost=True)
+            self._cut_leg(now, leg, fields.NETWORK_OUT, lost=True)
         self.parties.pop(flow, None)
 
     def news(self, now: int, kind: io.ListKind, entries: tuple[io.OfficeEntry, ...]) -> None:
-        """The register's word.  Entries of exchanges that we share no group with are passed over."""
+        """Apply an update of the list of exchanges.
+
+        Entries of exchanges to which there is no trunk group are ignored.
+        """
         kept = tuple(e for e in entries if e.number in self.ledgers or e.number == self.settings.number)
         if kind not in (io.ListKind.CHANGES, io.ListKind.FAILED):
             named = {e.office for e in kept}
             for office in [o for o in self.offices if o not in named]:
-                self._unlist(office)
+                self._remove_office(office)
         for entry in kept:
             if entry.state is io.OfficeState.GONE:
-                self._unlist(entry.office)
+                self._remove_office(entry.office)
             elif entry.number != self.settings.number:
                 if entry.office not in self.offices:
                     self.effects.append(fx.Dial(entry.office))
                 self.offices[entry.office] = entry.number
                 flow = self.links.get(entry.office, -1)
                 if flow >= 0 and not self.who(flow).proven:
-                    self.meet(flow, self.at_link(entry.office))  # the address may be another exchange's now
+                    # The address may now belong to another exchange.
+                    self.meet(flow, self.at_link(entry.office))
                 if entry.state is io.OfficeState.UP:
-                    self.current[entry.number] = entry.office
+                    self.current_office[entry.number] = entry.office
                     self.told.pop(entry.number, None)
-                    self.dirty.add(entry.number)
+                    self.changed_groups.add(entry.number)
         self.book.heard(self.offices)
         for entry in kept if self.meter is not None else ():
             self._measure_link(now, entry.number)
         self.events.append(io.OfficeList(kind, kept))
 
     def resize(self, now: int, number: int, circuits: int) -> None:
-        """The group toward an exchange has that many circuits from now on; standing calls keep theirs."""
-        ledger = self.ledgers[number]
-        ledger.resize(circuits)
-        self.dirty.add(number)
+        """Change the number of circuits toward an exchange; standing calls keep their circuits."""
+        group = self.ledgers[number]
+        group.resize(circuits)
+        self.changed_groups.add(number)
         if self.meter is not None:
             self.meter.resized(now, number, circuits)
         self._log("info", "group resized", peer=number, circuits=circuits)
 
     def due(self, now: int) -> None:
-        """Run what is due."""
+        """Run all timers that are due."""
         self.transactions.due(now)
-        self._take(now)
+        self._process_transaction_events(now)
         self.timers.run(now)
 
     def next_due(self) -> int | None:
-        """When `due` is wanted next (ns)."""
-        mine, theirs = self.timers.next_due() or NEVER, self.transactions.next_due() or NEVER
-        return min(mine, theirs) if min(mine, theirs) < NEVER else None
+        """When `due` must be called next (ns), None if no timer is set."""
+        timer_due, transaction_due = self.timers.next_due() or NEVER, self.transactions.next_due() or NEVER
+        return min(timer_due, transaction_due) if min(timer_due, transaction_due) < NEVER else None
 
     def stop(self, now: int) -> None:
-        """An orderly stop: new calls are told to come back, those taken get their answer, the rest drains."""
+        """Start a graceful stop.
+
+        New calls get a 503 with Retry-After, offered calls get their final response, and standing calls are
+        cut if they have not ended after the drain time.
+        """
         if not self.stopping:
             self.stopping = True
-            self._at(now + self.settings.limits.drain, self._drain_over)
+            self._schedule(now + self.settings.limits.drain, self._cut_after_drain)
 
     def flush(self, now: int) -> list[fx.Effect]:
-        """Hand the events of this moment to the module, carry out its actions, until nothing is left."""
+        """Pass pending events to the module and carry out its actions until no event is left.
+
+        Returns the effects for the server to carry out.
+        """
         while True:
-            if self.dirty:
-                self._tell_circuits(now)
+            if self.changed_groups:
+                self._report_circuits(now)
             if not self.events:
                 break
             events, self.events = self.events, []
             for action in self.controller.handle(now, events):
-                ACTIONS[type(action)](self, now, action)
+                ACTION_HANDLERS[type(action)](self, now, action)
         if self.stopping and not self.calls and not self.finished:
             self.finished = True
             self.effects.append(fx.Finished())
@@ -183,199 +204,211 @@
         return effects
 
     def busy_circuits(self) -> int:
-        """Circuits that this end holds busy, over all groups."""
-        return sum(len(ledger.busy) for ledger in self.ledgers.values())
+        """Number of busy circuits over all trunk groups."""
+        return sum(len(group.busy) for group in self.ledgers.values())
 
-    def _tell_circuits(self, now: int) -> None:
-        for number in sorted(self.dirty):
-            office, ledger = self.current.get(number), self.ledgers[number]
+    def _report_circuits(self, now: int) -> None:
+        """Report changed circuit figures of trunk groups to the module and the meter."""
+        for number in sorted(self.changed_groups):
+            office, group = self.current_office.get(number), self.ledgers[number]
             if self.meter is not None:
-                self.meter.level(now, number, len(ledger.busy), ledger.size)
-            figures = (ledger.free, ledger.size)
+                self.meter.level(now, number, len(group.busy), group.size)
+            figures = (group.free, group.size)
             if office is not None and self.told.get(number) != figures:
                 self.told[number] = figures
-                self.events.append(io.OfficeHeard(office, True, True, 0, mapping.report(ledger, None)))
-        self.dirty.clear()
+                self.events.append(io.OfficeHeard(office, True, True, 0, mapping.load_report(group, None)))
+        self.changed_groups.clear()
 
     def _measure_link(self, now: int, number: int) -> None:
         if self.meter is not None:
-            self.meter.link(now, number, self.current.get(number, "") in self.links)
+            self.meter.link(now, number, self.current_office.get(number, "") in self.links)
 
     def _measure_send(self, call: Call, number: int) -> None:
-        """Where a set-up goes, as the meter wants it: its own group, an alternate for want of circuits, or
-        another exchange's group."""
+        """Tell the meter that a group carries a transit call, or a call for another destination.
+
+        A call that overflows because its direct route has too few free circuits counts as blocked, once.
+        """
         meter = self.meter
         assert meter is not None
         if call.transit or number != call.dest:
-            meter.for_other(number, call.cls)
-        if not call.transit and number != call.dest and not call.counted and self._no_circuits(call):
-            call.counted = True
-            meter.blocked(call.dest, call.cls, call.redial, True)
+            meter.for_other(number, call.class_no)
+        if not call.transit and number != call.dest and not call.loss_counted and self._group_exhausted(call):
+            call.loss_counted = True
+            meter.blocked(call.dest, call.class_no, call.redial, True)
 
-    def _no_circuits(self, call: Call) -> bool:
-        own = self.ledgers.get(call.dest)
-        return own is not None and own.total > 0 and own.free < call.width
+    def _group_exhausted(self, call: Call) -> bool:
+        """Whether the direct route of a call has too few free circuits for it."""
+        direct = self.ledgers.get(call.dest)
+        return direct is not None and direct.total > 0 and direct.free < call.width
 
     def _measure_loss(self, now: int, call: Call) -> None:
-        """A call is turned away: for want of circuits of its own group, or for another cause."""
+        """Tell the meter that a call was turned away, for lack of circuits or for another cause."""
         meter = self.meter
         assert meter is not None
-        if call.transit or call.local:
+        if call.transit or call.to_own_lines:
             return
-        if not call.counted:
-            if not call.legs and self._no_circuits(call):
-                meter.blocked(call.dest, call.cls, call.redial, False)
+        if not call.loss_counted:
+            if not call.attempts_made and self._group_exhausted(call):
+                meter.blocked(call.dest, call.class_no, call.redial, False)
             else:
-                meter.refused(call.dest, call.cls)
-        meter.gave_up(now, call.cls, call.invite.uri)
+                meter.refused(call.dest, call.class_no)
+        meter.gave_up(now, call.class_no, call.invite.uri)
 
-    def _unlist(self, office: str) -> None:
+    def _remove_office(self, office: str) -> None:
+        """Forget an address that is no longer listed; calls on an open link to it go on."""
         number = self.offices.pop(office, None)
         if number is not None:
             self.effects.append(fx.HangUp(office))
-            if self.current.get(number) == office:
-                del self.current[number]
+            if self.current_office.get(number) == office:
+                del self.current_office[number]
 
-    def _take(self, now: int) -> None:
+    def _process_transaction_events(self, now: int) -> None:
         events = self.transactions.events
         while events:
-            found, events[:] = events[:], []
-            for event in found:
+            batch, events[:] = events[:], []
+            for event in batch:
                 if isinstance(event, NewRequest):
-                    self._request(now, event.tx, event.message)
+                    self._dispatch_request(now, event.tx, event.message)
                 elif isinstance(event, Answer):
-                    self._answer(now, event.tx, event.message)
+                    self._handle_response(now, event.tx, event.message)
                     if event.tx.state is State.TERMINATED:
                         if isinstance(event.tx.owner, Attempt) and event.tx.owner.tx is event.tx:
                             event.tx.owner.tx = None
                         event.tx.owner = None
                 elif isinstance(event, NoAnswer):
-                    self._no_answer(now, event.tx, event.broken)
+                    self._transaction_failed(now, event.tx, event.broken)
                     event.tx.owner = None
                 elif 200 <= event.message.status < 300 and event.message.cseq_method == "INVITE":
-                    self._late_success(now, event.flow, event.message)
+                    self._handle_stray_success(now, event.flow, event.message)
 
-    def _answer(self, now: int, tx: Transaction, message: Message) -> None:
+    def _handle_response(self, now: int, tx: Transaction, message: Message) -> None:
         owner = tx.owner
-        if isinstance(owner, ProbeOut):
+        if isinstance(owner, PendingProbe):
             if message.status >= 200:
-                self._probed(now, owner, message)
+                self._report_probe(now, owner, message)
         elif isinstance(owner, Attempt) and tx is owner.tx:
-            self._attempt_answer(now, tx, owner, message)
+            self._handle_set_up_response(now, tx, owner, message)
         elif isinstance(owner, Call | Attempt) and message.status >= 200:
-            self._released(owner)  # our BYE was answered
+            self._release_done(owner)  # our BYE was answered
 
-    def _attempt_answer(self, now: int, tx: Transaction, attempt: Attempt, message: Message) -> None:
+    def _handle_set_up_response(self, now: int, tx: Transaction, attempt: Attempt, message: Message) -> None:
         if message.status < 200:
-            self._press(now, attempt)
+            self._send_pending_cancel(now, attempt)
             return
         call = attempt.call
-        if attempt.timer is not None:
-            attempt.timer.call_off()
+        if attempt.deadline_timer is not None:
+            attempt.deadline_timer.call_off()
         if message.status < 300:
             assert attempt.invite is not None
             self.out.append((tx.flow, acknowledge(attempt.invite, message, self._via(tx.flow)).encode()))
             if attempt.dialog is not None:
-                return  # the same 2xx again
+                return  # a retransmitted 2xx
             attempt.dialog = Dialog.of_client(attempt.invite, message, tx.flow)
             self.dialogs[attempt.invite.call_id, attempt.invite.from_tag] = attempt
-            self._stand_on(tx.flow, attempt)
-            slim(attempt.invite)
-            if attempt.state in OPEN and call.state is CallState.OFFERED:
-                self._stands(now, call, attempt, message)
+            self._attach_leg(tx.flow, attempt)
+            strip_invite(attempt.invite)
+            if attempt.state in OPEN_STATES and call.state is CallState.OFFERED:
+                self._establish_call(now, call, attempt, message)
             else:
-                # Danger: the far end holds a call that nobody wants, and its circuits.  Given up, crossed by
-                # the caller's CANCEL, or lost a glare: it is acknowledged, then released.
+                # The 2xx came after the attempt timed out, was cancelled or lost its circuits in a glare.  It
+                # is acknowledged and the call released, or the far end would hold the call and its circuits.
                 self._count("answer after give-up")
-                told = attempt.state in OPEN
-                self._hang_up(now, attempt, fields.reason(fields.NORMAL))
-                if told:
-                    self._attempt_over(now, attempt, io.Outcome.CANCELLED, io.Cause.NONE, None, 0)
+                was_open = attempt.state in OPEN_STATES
+                self._send_bye(now, attempt, fields.reason(fields.NORMAL))
+                if was_open:
+                    self._report_attempt_end(now, attempt, io.Outcome.CANCELLED, io.Cause.NONE, None, 0)
             return
-        outcome, cause, wait = mapping.outcome(message)
-        was = attempt.state
-        self._free(attempt)
-        attempt.state = AttemptState.OVER
-        if was in OPEN:
-            call.beyond_full = cause is io.Cause.PROCESSOR_FULL
-            # Danger: called off by us because its circuits were lost, which the module does not know, it may
-            # be refused before the CANCEL gets there; told of a refusal, the module sends the next at once,
-            # and the release is not awaited (rule 5).  Hurts by that wait where the far end had let go.
-            crossed = attempt.cut and not attempt.pressed
-            if was is AttemptState.CANCELLING and (message.status == 487 or crossed):
+        outcome, cause, wait = mapping.read_outcome(message)
+        previous_state = attempt.state
+        self._release_circuits(attempt)
+        attempt.state = AttemptState.ENDED
+        if previous_state in OPEN_STATES:
+            call.next_processor_full = cause is io.Cause.PROCESSOR_FULL
+            # An attempt that was cancelled because its circuits were lost can be refused before the CANCEL
+            # arrives.  The module does not know of the CANCEL: told of a refusal, it would send the next
+            # attempt at once, without the wait for the release that rule 5 demands.  So the end is reported
+            # as cancelled.  Cost: that wait, even if the far end had already released the attempt.
+            crossed_cancel = attempt.cancelled_by_loss and not attempt.cancel_pending
+            if previous_state is AttemptState.CANCELLING and (message.status == 487 or crossed_cancel):
                 outcome, cause = io.Outcome.CANCELLED, io.Cause.NONE
-            if call.local:
+            if call.to_own_lines:
                 self._relay_failure(now, call, message)
             else:
-                self._attempt_over(now, attempt, outcome, cause, message, wait)
-        self._tidy(call)
+                self._report_attempt_end(now, attempt, outcome, cause, message, wait)
+        self._drop_if_ended(call)
 
-    def _stands(self, now: int, call: Call, attempt: Attempt, message: Message) -> None:
+    def _establish_call(self, now: int, call: Call, attempt: Attempt, message: Message) -> None:
+        """Answer the caller with a 200 and record that the call stands."""
         attempt.state = AttemptState.STANDING
         answer = response(call.invite, 200, call.tag)
         answer.set("contact", self._contact())
-        if call.local:
+        if call.to_own_lines:
             fields.add_load(answer, fields.read_load(message))
         if message.body:
             answer.body = message.body
             answer.set("content-type", message.get("content-type"))
         call.state = CallState.STANDING
-        if self.meter is not None and not (call.local or call.transit):
-            self.meter.stands(now, call.dest, call.cls)
-        if call.trying is not None:
-            call.trying.call_off()
+        if self.meter is not None and not (call.to_own_lines or call.transit):
+            self.meter.stands(now, call.dest, call.class_no)
+        if call.trying_timer is not None:
+            call.trying_timer.call_off()
         call.dialog = Dialog.of_server(call.invite, answer, call.flow)
         self.dialogs[call.invite.call_id, call.tag] = call
-        self._stand_on(call.flow, call)
+        self._attach_leg(call.flow, call)
         self.transactions.respond(now, call.tx, answer)
-        slim(call.invite)
+        strip_invite(call.invite)
         if self.verbose:
             self._log("debug", "call stands", call.name, office=attempt.office, leg=attempt.leg)
-        if not call.local:
+        if not call.to_own_lines:
             self.events.append(io.CallStands(call.name, attempt.leg, attempt.office, now - attempt.sent_at))
 
     def _relay_failure(self, now: int, call: Call, message: Message) -> None:
+        """Reject a call for an own subscriber with the failure response of `lines`."""
         answer = response(call.invite, message.status if message.status != 487 else 480, call.tag)
         for name in ("reason", "retry-after", fields.PAUSE):
             answer.set(name, message.get(name) or None)
         fields.add_load(answer, fields.read_load(message))
-        self._final(now, call, answer)
+        self._reject_call(now, call, answer)
 
-    def _no_answer(self, now: int, tx: Transaction, broken: bool) -> None:
+    def _transaction_failed(self, now: int, tx: Transaction, broken: bool) -> None:
+        """A transaction timed out, or its connection was lost (`broken`)."""
         owner = tx.owner
-        if isinstance(owner, ProbeOut):
-            self._probed(now, owner, None)
+        if isinstance(owner, PendingProbe):
+            self._report_probe(now, owner, None)
         elif isinstance(owner, Call) and tx is owner.tx:
             if owner.state is CallState.OFFERED:
-                self._gone(now, owner)
-                self._finish(now, owner)
+                self._report_caller_gone(now, owner)
+                self._finish_call(now, owner)
             elif owner.state is CallState.STANDING and not broken:
                 self._log("warning", "answer never acknowledged", owner.name)
-                self._cut(now, owner, fields.TEMPORARY, lost=False)
+                self._cut_leg(now, owner, fields.TEMPORARY, lost=False)
         elif isinstance(owner, Attempt) and tx is owner.tx:
-            was, owner.state = owner.state, AttemptState.OVER
-            self._forget(owner, tx.flow)
-            self._free(owner)
-            if was in OPEN:
-                # A lost connection is a reset; a transaction that timed out is silence.
+            previous_state, owner.state = owner.state, AttemptState.ENDED
+            self._record_dropped(owner, tx.flow)
+            self._release_circuits(owner)
+            if previous_state in OPEN_STATES:
+                # A lost connection counts as cut, a transaction timeout as no answer.
                 outcome = io.Outcome.CUT if broken else io.Outcome.NO_ANSWER
-                if owner.call.local:
-                    self._final(now, owner.call, response(owner.call.invite, 480, owner.call.tag))
+                if owner.call.to_own_lines:
+                    self._reject_call(now, owner.call, response(owner.call.invite, 480, owner.call.tag))
                 else:
-                    self._attempt_over(now, owner, outcome, io.Cause.NONE, None, 0)
-            self._tidy(owner.call)
+                    self._report_attempt_end(now, owner, outcome, io.Cause.NONE, None, 0)
+            self._drop_if_ended(owner.call)
         elif isinstance(owner, Call | Attempt):
             if not broken:
                 self._log(
-                    "warning", "release never answered", self._name(owner), circuits=len(owner.circuits)
+                    "warning", "release never answered", self._call_name(owner), circuits=len(owner.circuits)
                 )
-            self._released(owner)
+            self._release_done(owner)
+
+    def _handle_stray_success(self, now: int, flow: int, message: Message) -> None:
+        """Acknowledge and release a 2xx to a set-up without a transaction.
 
-    def _late_success(self, now: int, flow: int, message: Message) -> None:
-        """A 2xx of a set-up that is forgotten: acknowledged and released, or it stands there for ever."""
+        Otherwise the call would stand at the far end for ever.
+        """
         leg = self.dialogs.get((message.call_id, message.from_tag))
-        ours = leg.dialog.flow if leg is not None and leg.dialog is not None else -1
-        own = flow in (ours, self.forgotten.get((message.call_id, message.from_tag), -1))
+        dialog_flow = leg.dialog.flow if leg is not None and leg.dialog is not None else -1
+        own = flow in (dialog_flow, self.dropped_set_ups.get((message.call_id, message.from_tag), -1))
         if refusal(Act.LATE, self.who(flow), own=own):
             self._count("not believed: 200")
             return
@@ -383,12 +416,12 @@
         invite = Message("INVITE", target, 0, "", dict(message.headers))
         self.out.append((flow, acknowledge(invite, message, self._via(flow)).encode()))
         if leg is not None and leg.dialog is not None and leg.dialog.remote == message.get("to"):
-            return  # the 2xx of a call that stands, again
+            return  # a retransmitted 2xx of a standing call
         self._count("answer after give-up")
         dialog = Dialog(message.call_id, message.get("from"), message.get("to"), target, flow, message.cseq)
         bye = dialog.request("BYE", self._via(flow))
         bye.set("reason", fields.reason(fields.NORMAL))
-        self._ask(now, flow, bye)
+        self._send_request(now, flow, bye)
 
     # -- the module's actions ------------------------------------------------------------------------------
 
@@ -396,52 +429,55 @@
         call = self.calls.get(action.call)
         number = self.offices.get(action.office, -1)
         if call is None or call.state is not CallState.OFFERED:
-            # Its end stood in the batch that the module has just answered: nothing goes out.
-            if self.told.pop(number, None) is not None:  # the module has taken circuits off: it is told anew
-                self.dirty.add(number)
+            # The call had ended before the module decided on the same batch of events: nothing is sent.
+            # The module has already subtracted the circuits, so the figures are reported again.
+            if self.told.pop(number, None) is not None:
+                self.changed_groups.add(number)
             self.events.append(
                 io.AttemptEnded(action.call, 0, action.office, io.Outcome.NOT_SENT, io.Cause.NONE, True, 0)
             )
             return
         if self.meter is not None:
             self._measure_send(call, number)
-        leg, call.legs = call.legs, call.legs + 1
+        leg, call.attempts_made = call.attempts_made, call.attempts_made + 1
         attempt = Attempt(call, leg, action.office, number, now, action.until)
-        ledger, flow = self.ledgers.get(number), self.links.get(action.office)
-        if number in self.told:  # the module has taken these off the free ones itself
+        group, flow = self.ledgers.get(number), self.links.get(action.office)
+        if number in self.told:  # the module subtracts the circuits of its own set-ups itself
             free, size = self.told[number]
             self.told[number] = (free - call.width, size)
-        if ledger is not None:
-            self.dirty.add(number)
-        if flow is None or ledger is None:
-            attempt.state = AttemptState.OVER
-            self._attempt_over(now, attempt, io.Outcome.UNREACHABLE, io.Cause.NONE, None, 0)
+        if group is not None:
+            self.changed_groups.add(number)
+        if flow is None or group is None:
+            attempt.state = AttemptState.ENDED
+            self._report_attempt_end(now, attempt, io.Outcome.UNREACHABLE, io.Cause.NONE, None, 0)
             return
-        attempt.circuits = ledger.seize(call.width, attempt)
+        attempt.circuits = group.seize(call.width, attempt)
         if not attempt.circuits:
-            attempt.state = AttemptState.OVER
-            self._attempt_over(now, attempt, io.Outcome.NOT_SENT, io.Cause.NO_CIRCUIT, None, 0)
+            attempt.state = AttemptState.ENDED
+            self._report_attempt_end(now, attempt, io.Outcome.NOT_SENT, io.Cause.NO_CIRCUIT, None, 0)
             return
-        attempt.ledger = ledger
+        attempt.group = group
         call.attempt = attempt
         self._transmit_invite(now, call, attempt, flow)
 
     def _transmit_invite(self, now: int, call: Call, attempt: Attempt, flow: int) -> None:
+        """Send the INVITE of an attempt, with the caller's body and the remaining time."""
         incoming = call.invite
         user = incoming.uri.partition(":")[2].partition("@")[0].partition(";")[0]
         invite = request(
             "INVITE", f"sip:{user}@{attempt.office}", via=self._via(flow),
-            sender=f"<sip:{self.settings.name}@{self.here}>;tag={self._id()}",
+            sender=f"<sip:{self.settings.name}@{self.own_address}>;tag={self._id()}",
             to=f"<sip:{user}@{attempt.office}>",
-            call_id=f"{self._id()}@{self.here}", cseq=1, hops=int(incoming.get("max-forwards", "70")) - 1,
+            call_id=f"{self._id()}@{self.own_address}", cseq=1,
+            hops=int(incoming.get("max-forwards", "70")) - 1,
         )  # fmt: skip
         headers = invite.headers
-        headers["session-id"] = [call.session]
-        headers[self.reader.class_header] = [self.settings.classes[call.cls].name]
-        headers[fields.PATIENCE] = [str(max(attempt.until - now, 0) // fields.MS)]
-        if attempt.ledger is not None:
-            group = fields.group_name(self.settings.number, attempt.number)
-            headers["contact"] = [fields.trunk_contact(self.here, group, self.settings.context)]
+        headers["session-id"] = [call.session_id]
+        headers[self.reader.class_header] = [self.settings.classes[call.class_no].name]
+        headers[fields.PATIENCE] = [str(max(attempt.deadline - now, 0) // fields.MS)]
+        if attempt.group is not None:
+            group_name = fields.group_name(self.settings.number, attempt.number)
+            headers["contact"] = [fields.trunk_contact(self.own_address, group_name, self.settings.context)]
             headers[fields.CIRCUITS] = [fields.write_circuits(attempt.circuits)]
         else:
             headers["contact"] = [self._contact()]
@@ -449,30 +485,35 @@
             headers["content-type"] = [incoming.get("content-type")]
             invite.body = incoming.body
         attempt.invite = invite
-        attempt.tx = self._ask(now, flow, invite)
+        attempt.tx = self._send_request(now, flow, invite)
         attempt.tx.owner = attempt
-        attempt.timer = self._at(attempt.until, lambda at: self._until(at, attempt))
+        attempt.deadline_timer = self._schedule(
+            attempt.deadline, lambda at: self._attempt_timed_out(at, attempt)
+        )
         if self.verbose:
             self._log("debug", "set-up sent", call.name, office=attempt.office, leg=attempt.leg)
 
-    def _until(self, now: int, attempt: Attempt) -> None:
-        """The attempt's time is up: the module is told, the far end called off, its circuits stay seized."""
-        if attempt.state not in OPEN:
+    def _attempt_timed_out(self, now: int, attempt: Attempt) -> None:
+        """Cancel an attempt at its deadline and report it as unanswered.
+
+        Its circuits stay seized until the final response.
+        """
+        if attempt.state not in OPEN_STATES:
             return
         attempt.state = AttemptState.GIVEN_UP
-        self._call_off(now, attempt)
-        if attempt.call.local:
-            self._final(now, attempt.call, response(attempt.call.invite, 480, attempt.call.tag))
+        self._request_cancel(now, attempt)
+        if attempt.call.to_own_lines:
+            self._reject_call(now, attempt.call, response(attempt.call.invite, 480, attempt.call.tag))
         else:
-            self._attempt_over(now, attempt, io.Outcome.NO_ANSWER, io.Cause.NONE, None, 0)
+            self._report_attempt_end(now, attempt, io.Outcome.NO_ANSWER, io.Cause.NONE, None, 0)
 
     def _cancel(self, now: int, action: io.Cancel) -> None:
         call = self.calls.get(action.call)
         attempt = call.attempt if call is not None else None
-        if attempt is None or attempt.leg != action.leg or attempt.state is not AttemptState.OUT:
+        if attempt is None or attempt.leg != action.leg or attempt.state is not AttemptState.PENDING:
             return
         attempt.state = AttemptState.CANCELLING
-        self._call_off(now, attempt)
+        self._request_cancel(now, attempt)
 
     def _refuse(self, now: int, action: io.Refuse) -> None:
         call = self.calls.get(action.call)
@@ -481,8 +522,12 @@
         if self.meter is not None:
             self._measure_loss(now, call)
         self._log("debug", "call refused", call.name, pause=action.pause)
-        self._final(
-            now, call, mapping.refusal(call.invite, call.tag, action.pause, call.transit, call.beyond_full)
+        self._reject_call(
+            now,
+            call,
+            mapping.refusal_response(
+                call.invite, call.tag, action.pause, call.transit, call.next_processor_full
+            ),
         )
 
     def _abandon(self, now: int, action: io.Abandon) -> None:
@@ -492,31 +537,33 @@
         if self.meter is not None:
             self._measure_loss(now, call)
         self._log("debug", "call abandoned", call.name)
-        self._final(now, call, mapping.failure(call.invite, call.tag, call.legs > 0, call.transit))
+        self._reject_call(
+            now, call, mapping.failure_response(call.invite, call.tag, call.attempts_made > 0, call.transit)
+        )
 
     def _set_timer(self, now: int, action: io.SetTimer) -> None:
         token = action.token
-        self._at(action.due, lambda at: self.events.append(io.TimerDue(token)))
+        self._schedule(action.due, lambda at: self.events.append(io.TimerDue(token)))
 
     def _probe(self, now: int, action: io.Probe) -> None:
         flow = self.links.get(action.office)
-        probe = ProbeOut(action.office, now)
+        probe = PendingProbe(action.office, now)
         if flow is None:
-            self._probed(now, probe, None)
+            self._report_probe(now, probe, None)
             return
         options = request(
             "OPTIONS", f"sip:{action.office}", via=self._via(flow), to=f"<sip:{action.office}>",
-            sender=f"<sip:{self.settings.name}@{self.here}>;tag={self._id()}",
-            call_id=f"{self._id()}@{self.here}", cseq=1,
+            sender=f"<sip:{self.settings.name}@{self.own_address}>;tag={self._id()}",
+            call_id=f"{self._id()}@{self.own_address}", cseq=1,
         )  # fmt: skip
-        self._ask(now, flow, options).owner = probe
+        self._send_request(now, flow, options).owner = probe
 
-    def _probed(self, now: int, probe: ProbeOut, message: Message | None) -> None:
-        ledger = self.ledgers.get(self.offices.get(probe.office, -1))
+    def _report_probe(self, now: int, probe: PendingProbe, message: Message | None) -> None:
+        group = self.ledgers.get(self.offices.get(probe.office, -1))
         answered = message is not None and message.status < 300
         self.events.append(
             io.OfficeHeard(
-                probe.office, False, answered, now - probe.sent_at, mapping.report(ledger, message)
+                probe.office, False, answered, now - probe.sent_at, mapping.load_report(group, message)
             )
         )
 
@@ -526,20 +573,20 @@
     def _note(self, now: int, action: io.Note) -> None:
         self._log("warning", action.text)
 
-    def _drain_over(self, now: int) -> None:
-        """The stop has waited long enough for the calls that still stand."""
+    def _cut_after_drain(self, now: int) -> None:
+        """Cut the calls that still stand at the end of the drain time."""
         for call in list(self.calls.values()):
             if call.state is CallState.STANDING:
-                self._cut(now, call, fields.TEMPORARY, lost=False)
+                self._cut_leg(now, call, fields.TEMPORARY, lost=False)
 
 
-def slim(invite: Message) -> None:
-    """Keep of an INVITE what a standing call still needs: who and which.  Thousands of them stand."""
+def strip_invite(invite: Message) -> None:
+    """Drop all of an INVITE but the headers that identify its dialog, to save memory in standing calls."""
     invite.headers = {name: invite.headers[name] for name in ("from", "to", "call-id", "cseq")}
     invite.body = b""
 
 
-ACTIONS: dict[type, Callable[[Engine, int, Any], None]] = {
+ACTION_HANDLERS: dict[type, Callable[[Engine, int, Any], None]] = {
     io.Send: Engine._send,
     io.Refuse: Engine._refuse,
     io.Abandon: Engine._abandon,
--- a/eiderstep/engine/effects.py
+++ b/eiderstep/engine/effects.py
@@ -1,4 +1,7 @@
-"""What the engine asks of its host.  Bytes to send are in `Engine.out`, as (flow, bytes)."""
+"""Effects: what the engine asks of the server that runs it.
+
+Bytes to send are not effects; they are in `Engine.out`, as (flow, bytes).
+"""
 
 from __future__ import annotations
 
@@ -8,34 +11,34 @@
 
 @dataclass(frozen=True, slots=True)
 class Dial:
-    """Keep a connection to this address."""
+    """Open and keep a connection to this address."""
 
     address: str
 
 
 @dataclass(frozen=True, slots=True)
 class HangUp:
-    """No connection to this address is wanted any more; what stands on it goes on until it ends."""
+    """Stop connecting to this address.  An open connection, with the calls on it, is left as it is."""
 
     address: str
 
 
 @dataclass(frozen=True, slots=True)
 class CloseFlow:
-    """Close a connection; `why` goes to the log."""
+    """Close a connection; `reason` tells why."""
 
     flow: int
-    why: str
+    reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class AskRegister:
-    """The module asks to be told of list changes."""
+    """The module asks for updates of the list of exchanges."""
 
 
 @dataclass(frozen=True, slots=True)
 class Log:
-    """One event for the log; `call` is the call's id, or empty."""
+    """One log event; `call` is the call's name, or empty."""
 
     level: str
     event: str
@@ -45,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Finished:
-    """All calls are over after a stop was asked for."""
+    """All calls have ended after `Engine.stop`."""
 
 
 Effect = Dial | HangUp | CloseFlow | AskRegister | Log | Finished
--- a/eiderstep/engine/legs.py
+++ b/eiderstep/engine/legs.py
@@ -1,6 +1,7 @@
-"""The legs of calls: their dialogs, circuits and ends.  What is done to both sides when one side ends.
+"""The call table: legs with their dialogs and circuits, and the release of both legs when one of them ends.
 
-`Engine` in core.py stands on this; here nothing of the module's actions and nothing of offers is known.
+Base of `RequestHandler` (requests.py) and `Engine` (core.py).  Handles neither actions of the module nor the
+contents of INVITEs.
 """
 
 from __future__ import annotations
@@ -23,33 +24,34 @@
 from eiderstep.sizing.meter import Meter
 from eiderstep.trust.party import NOBODY, Book, Party, same
 
-FORGOTTEN = 4096  # set-ups remembered whose far end has never answered
-OPEN = (AttemptState.OUT, AttemptState.CANCELLING)
+MAX_DROPPED_SET_UPS = 4096  # remembered set-ups that were dropped without a final response
+OPEN_STATES = (AttemptState.PENDING, AttemptState.CANCELLING)  # the module has not been told of the end
 
 
-class Legs:
-    """The call table and what stands on it.  `here` is the `host:port` that goes into Via and Contact."""
+class CallTable:
+    """The call table.  `own_address`: the `host:port` that goes into Via and Contact."""
 
-    def __init__(self, settings: ServerSettings, here: str, ids: Random | None = None) -> None:
-        """`ids`: where identities come from.
+    def __init__(self, settings: ServerSettings, own_address: str, ids: Random | None = None) -> None:
+        """`ids`: random source of tags, branches and Call-IDs.
 
-        Danger: identities that can be guessed, or that come again after a restart, let others speak within
-        calls that stand.  In service they are the system's random bits; only a lab draws them from the seed.
+        If these could be guessed, or were repeated after a restart, others could send requests within
+        standing calls.  In service `ids` must therefore be the system's random source.  The default, derived
+        from the seed, is for reproducible lab runs only.
         """
-        self.settings, self.here = settings, here
-        self.ids = ids or Random(settings.seed ^ 0x5EED)
+        self.settings, self.own_address = settings, own_address
+        self.id_source = ids or Random(settings.seed ^ 0x5EED)
         times = settings.timers
         self.transactions = Transactions(Times(times.t1, times.t2, times.t4))
         self.out = self.transactions.out
         self.calls: dict[str, Call] = {}
-        self.dialogs: dict[tuple[str, str], Call | Attempt] = {}
-        self.drawn: dict[str, int] = {}  # calls in the table, by the source that asked for them
-        self.merged: dict[tuple[str, str, int], Call] = {}
-        self.on_flow: dict[int, dict[Call | Attempt, None]] = {}
+        self.dialogs: dict[tuple[str, str], Call | Attempt] = {}  # by Call-ID and the tag of this end
+        self.call_count_by_source: dict[str, int] = {}  # calls in the table
+        self.calls_by_request: dict[tuple[str, str, int], Call] = {}  # by Call-ID, From tag and CSeq
+        self.on_flow: dict[int, dict[Call | Attempt, None]] = {}  # legs with a dialog, by flow
         self.ledgers = {p.number: Ledger(p.circuits, settings.number, p.number) for p in settings.peers}
-        self.told: dict[int, tuple[int, int]] = {}  # circuits free and in service, as the module has them
-        self.dirty: set[int] = set(self.ledgers)
-        self.unreliable: set[int] = set()  # flows that are datagrams
+        self.told: dict[int, tuple[int, int]] = {}  # (free, in service) as last reported
+        self.changed_groups: set[int] = set(self.ledgers)
+        self.unreliable: set[int] = set()  # flows over UDP
         self.events: list[io.Event] = []
         self.effects: list[fx.Effect] = []
         self.verbose = False
@@ -57,58 +59,62 @@
         self.counts: dict[str, int] = {}
         self.timers = Timers()
         self.book = Book(settings)
-        self.forgotten: dict[tuple[str, str], int] = {}  # set-ups dropped without a final word, latest last
-        self.parties: dict[int, Party] = {}  # by flow; one that nobody introduced is nobody's
+        self.dropped_set_ups: dict[tuple[str, str], int] = {}  # flow of each, latest last
+        self.parties: dict[int, Party] = {}  # by flow; a flow without an entry is NOBODY
 
     def _id(self) -> str:
-        """64 random bits (section 19.3 asks for 32)."""
-        return f"{self.ids.getrandbits(64):016x}"
+        """A new tag, branch or Call-ID part: 64 random bits (RFC 3261, section 19.3 requires 32)."""
+        return f"{self.id_source.getrandbits(64):016x}"
 
     def meet(self, flow: int, party: Party) -> None:
-        """Who is at the other end of a flow, before the first message from there."""
+        """Set who is at the other end of a flow; called before the first message from there."""
         self.parties[flow] = party
 
     def who(self, flow: int) -> Party:
+        """The party at the other end of a flow, NOBODY if it is unknown."""
         return self.parties.get(flow, NOBODY)
 
     def same_peer(self, flow: int, other: int) -> bool:
-        """Whether both flows lead to one far end: the same connection, or an exchange that has dialled anew
-        while its old connection still counts."""
+        """Whether both flows lead to the same far end.
+
+        They do if they are one connection, or if an exchange has opened a new connection before the loss of
+        its old one was noticed.
+        """
         return flow == other or same(self.who(flow), self.who(other))
 
     def _via(self, flow: int) -> str:
         transport = "UDP" if flow in self.unreliable else "TCP"
-        return f"SIP/2.0/{transport} {self.here};branch=z9hG4bK{self._id()}"
+        return f"SIP/2.0/{transport} {self.own_address};branch=z9hG4bK{self._id()}"
 
-    def _ask(self, now: int, flow: int, message: Message) -> Transaction:
-        """Begin a client transaction on a flow."""
+    def _send_request(self, now: int, flow: int, message: Message) -> Transaction:
+        """Start a client transaction on a flow."""
         return self.transactions.send(now, flow, message, flow not in self.unreliable)
 
     def _contact(self) -> str:
-        return f"<sip:{self.settings.name}@{self.here}>"
+        return f"<sip:{self.settings.name}@{self.own_address}>"
 
-    def _at(self, due: int, what: Callable[[int], None]) -> Entry:
-        """Do something at a time; the entry can be called off."""
-        return self.timers.at(due, what)
+    def _schedule(self, due: int, callback: Callable[[int], None]) -> Entry:
+        """Schedule a callback; `call_off` of the result cancels it."""
+        return self.timers.at(due, callback)
 
     def _log(self, level: str, event: str, call: str = "", **more: Any) -> None:
         if level != "debug" or self.verbose:
             self.effects.append(fx.Log(level, event, call, more))
 
-    def _count(self, what: str) -> None:
-        self.counts[what] = self.counts.get(what, 0) + 1
+    def _count(self, counter: str) -> None:
+        self.counts[counter] = self.counts.get(counter, 0) + 1
 
-    def _free(self, leg: Call | Attempt) -> None:
-        if leg.ledger is not None and leg.circuits:
-            leg.ledger.release(leg.circuits, leg)
+    def _release_circuits(self, leg: Call | Attempt) -> None:
+        if leg.group is not None and leg.circuits:
+            leg.group.release(leg.circuits, leg)
             leg.circuits = ()
-            self.dirty.add(leg.ledger.peer)
+            self.changed_groups.add(leg.group.peer)
 
-    def _stand_on(self, flow: int, leg: Call | Attempt) -> None:
+    def _attach_leg(self, flow: int, leg: Call | Attempt) -> None:
         self.on_flow.setdefault(flow, {})[leg] = None
 
-    def _leave(self, leg: Call | Attempt) -> None:
-        """The leg's dialog is over."""
+    def _detach_leg(self, leg: Call | Attempt) -> None:
+        """Remove a leg whose dialog has ended from its flow."""
         if leg.dialog is not None:
             legs = self.on_flow.get(leg.dialog.flow)
             if legs is not None:
@@ -116,76 +122,87 @@
                 if not legs:
                     del self.on_flow[leg.dialog.flow]
 
-    def _silent_cancel(self, now: int, attempt: Attempt) -> None:
+    def _cancel_timed_out(self, now: int, attempt: Attempt) -> None:
+        """No final response within the release wait after a CANCEL: report the attempt as cancelled."""
         if attempt.state is AttemptState.CANCELLING:
             attempt.state = AttemptState.GIVEN_UP
-            self._attempt_over(now, attempt, io.Outcome.CANCELLED, io.Cause.NONE, None, 0)
+            self._report_attempt_end(now, attempt, io.Outcome.CANCELLED, io.Cause.NONE, None, 0)
 
-    def _never_ended(self, now: int, attempt: Attempt) -> None:
-        """No final word in 64 x T1 after a CANCEL: the set-up counts as cancelled (section 9.1).
+    def _final_response_timed_out(self, now: int, attempt: Attempt) -> None:
+        """No final response within 64 x T1 after a CANCEL: drop the set-up (RFC 3261, section 9.1).
 
-        Danger: its circuits would stay seized for ever.  Hurts where the far end still holds them: it then
-        refuses the next set-up on them, which is a call turned away and no more.
+        Otherwise its circuits would stay seized for ever.  If the far end still holds them, it refuses the
+        next set-up on them, which costs one attempt.
         """
         if attempt.state is AttemptState.GIVEN_UP and attempt.tx is not None:
             self._count("set-ups never ended")
-            self._log("warning", "set-up never ended", attempt.call.name, office=attempt.office)
-            self._forget(attempt, attempt.tx.flow)
+            self._log("warning", "no final response after CANCEL", attempt.call.name, office=attempt.office)
+            self._record_dropped(attempt, attempt.tx.flow)
             self.transactions.forget(attempt.tx)
-            attempt.state = AttemptState.OVER
-            self._free(attempt)
-            self._tidy(attempt.call)
+            attempt.state = AttemptState.ENDED
+            self._release_circuits(attempt)
+            self._drop_if_ended(attempt.call)
+
+    def _record_dropped(self, attempt: Attempt, flow: int) -> None:
+        """Remember a set-up that was dropped without a final response.
 
-    def _forget(self, attempt: Attempt, flow: int) -> None:
-        """A set-up without a final word is dropped; a 2xx that comes after all is ended (`_late_success`)."""
+        If a 2xx to it arrives later, `_handle_stray_success` releases the call.
+        """
         if attempt.invite is not None:
-            if len(self.forgotten) >= FORGOTTEN:
-                del self.forgotten[next(iter(self.forgotten))]
-            self.forgotten[attempt.invite.call_id, attempt.invite.from_tag] = flow
+            if len(self.dropped_set_ups) >= MAX_DROPPED_SET_UPS:
+                del self.dropped_set_ups[next(iter(self.dropped_set_ups))]
+            self.dropped_set_ups[attempt.invite.call_id, attempt.invite.from_tag] = flow
 
-    def _call_off(self, now: int, attempt: Attempt) -> None:
-        attempt.pressed = True
+    def _request_cancel(self, now: int, attempt: Attempt) -> None:
+        """Cancel an attempt: now if a provisional response has arrived, else when one does."""
+        attempt.cancel_pending = True
         tx = attempt.tx
         if tx is not None and tx.state is State.PROCEEDING:
-            self._press(now, attempt)
-
-    def _press(self, now: int, attempt: Attempt) -> None:
-        """Send the CANCEL once a provisional response allows it (section 9.1)."""
-        if attempt.pressed and attempt.tx is not None and attempt.invite is not None:
-            attempt.pressed = False
-            self._ask(now, attempt.tx.flow, cancel(attempt.invite))
-            # Danger: told at once that it is over, the module might send again while the far end still
-            # answers; told only by the far end, never where its answers are lost.  So: its word, or one
-            # release wait after the CANCEL.  Hurts a call whose 487 is lost: it waits twice as long.
-            self._at(now + self.settings.rules.release_wait, lambda at: self._silent_cancel(at, attempt))
-            self._at(now + self.transactions.times.give_up, lambda at: self._never_ended(at, attempt))
-
-    def _final(self, now: int, call: Call, answer: Message) -> None:
-        """The one final answer that is no success."""
+            self._send_pending_cancel(now, attempt)
+
+    def _send_pending_cancel(self, now: int, attempt: Attempt) -> None:
+        """Send a requested CANCEL.  Only allowed after a provisional response (RFC 3261, section 9.1)."""
+        if attempt.cancel_pending and attempt.tx is not None and attempt.invite is not None:
+            attempt.cancel_pending = False
+            self._send_request(now, attempt.tx.flow, cancel(attempt.invite))
+            # If the end were reported at once, the module could send the next attempt while the far end can
+            # still answer this one; if only the final response reported it, a lost response would hold the
+            # call.  So it is reported with the final response, at the latest one release wait after the
+            # CANCEL.  Cost: a call whose 487 is lost waits twice as long.
+            self._schedule(
+                now + self.settings.rules.release_wait, lambda at: self._cancel_timed_out(at, attempt)
+            )
+            self._schedule(
+                now + self.transactions.times.give_up, lambda at: self._final_response_timed_out(at, attempt)
+            )
+
+    def _reject_call(self, now: int, call: Call, answer: Message) -> None:
+        """Send the final response to a call that is not established."""
         if call.state is CallState.OFFERED:
             self.transactions.respond(now, call.tx, answer)
-            self._finish(now, call)
-
-    def _finish(self, now: int, call: Call) -> None:
-        """The call is over for its caller; what is still out is called off, and told of when it ends."""
-        call.state = CallState.OVER
-        if call.trying is not None:
-            call.trying.call_off()
-        self._free(call)
+            self._finish_call(now, call)
+
+    def _finish_call(self, now: int, call: Call) -> None:
+        """End the call toward its caller.  A pending attempt is cancelled and reported when it ends."""
+        call.state = CallState.ENDED
+        if call.trying_timer is not None:
+            call.trying_timer.call_off()
+        self._release_circuits(call)
         attempt = call.attempt
-        if attempt is not None and attempt.state is AttemptState.OUT:
+        if attempt is not None and attempt.state is AttemptState.PENDING:
             attempt.state = AttemptState.CANCELLING
-            self._call_off(now, attempt)
-        self._tidy(call)
+            self._request_cancel(now, attempt)
+        self._drop_if_ended(call)
 
-    def _attempt_over(
+    def _report_attempt_end(
         self, now: int, attempt: Attempt, outcome: io.Outcome, cause: io.Cause, message: Message | None,
         wait: int,
     ) -> None:  # fmt: skip
+        """Report the end of an attempt to the module, with the circuit figures of the group."""
         call = attempt.call
-        if call.local:
+        if call.to_own_lines:
             return
-        ledger = self.ledgers.get(attempt.number)
+        group = self.ledgers.get(attempt.number)
         self.events.append(
             io.AttemptEnded(
                 call.name,
@@ -193,99 +210,109 @@
                 attempt.office,
                 outcome,
                 cause,
-                call.state is CallState.OVER,
+                call.state is CallState.ENDED,
                 now - attempt.sent_at,
                 wait,
-                mapping.report(ledger, message),
+                mapping.load_report(group, message),
             )
         )
-        if ledger is not None and attempt.number in self.told:
-            self.told[attempt.number] = (ledger.free, ledger.size)
-        self._tidy(call)
+        if group is not None and attempt.number in self.told:
+            self.told[attempt.number] = (group.free, group.size)
+        self._drop_if_ended(call)
 
     @staticmethod
-    def _name(leg: Call | Attempt) -> str:
+    def _call_name(leg: Call | Attempt) -> str:
         return leg.name if isinstance(leg, Call) else leg.call.name
 
-    def _hang_up(self, now: int, leg: Call | Attempt, reason: str) -> None:
-        """BYE on one leg; its circuits come back with the answer."""
+    def _send_bye(self, now: int, leg: Call | Attempt, reason: str) -> None:
+        """Send a BYE on a leg.  Its circuits are released when the response arrives."""
         if leg.dialog is None:
             return
         if isinstance(leg, Attempt):
-            if leg.state in (AttemptState.RELEASING, AttemptState.OVER):
+            if leg.state in (AttemptState.RELEASING, AttemptState.ENDED):
                 return
             leg.state = AttemptState.RELEASING
         bye = leg.dialog.request("BYE", self._via(leg.dialog.flow))
         bye.set("reason", reason)
-        self._ask(now, leg.dialog.flow, bye).owner = leg
+        self._send_request(now, leg.dialog.flow, bye).owner = leg
 
-    def _released(self, leg: Call | Attempt) -> None:
-        """Our BYE is answered, or never will be: circuits back."""
+    def _release_done(self, leg: Call | Attempt) -> None:
+        """Our BYE was answered, or its transaction failed: release the circuits."""
         self._end_leg(leg)
         if isinstance(leg, Attempt):
-            self._tidy(leg.call)
+            self._drop_if_ended(leg.call)
 
     def _end_leg(self, leg: Call | Attempt) -> None:
-        self._free(leg)
-        self._leave(leg)
+        """Release the circuits of a leg and forget its dialog."""
+        self._release_circuits(leg)
+        self._detach_leg(leg)
         if isinstance(leg, Attempt):
-            leg.state = AttemptState.OVER
+            leg.state = AttemptState.ENDED
             if leg.invite is not None:
                 self.dialogs.pop((leg.invite.call_id, leg.invite.from_tag), None)
         else:
             self.dialogs.pop((leg.invite.call_id, leg.tag), None)
 
-    def _over(self, now: int, call: Call, outcome: io.Outcome) -> None:
-        """A standing call ends; the module is told once."""
+    def _end_standing_call(self, now: int, call: Call, outcome: io.Outcome) -> None:
+        """End a standing call and report it to the module, once."""
         if call.state is CallState.STANDING:
-            call.state = CallState.OVER
-            if self.meter is not None and call.attempt is not None and not (call.local or call.transit):
-                self.meter.ended(now, call.dest, call.cls, now - call.attempt.sent_at)
+            call.state = CallState.ENDED
+            if (
+                self.meter is not None
+                and call.attempt is not None
+                and not (call.to_own_lines or call.transit)
+            ):
+                self.meter.ended(now, call.dest, call.class_no, now - call.attempt.sent_at)
             if call.attempt is not None:
-                self._attempt_over(now, call.attempt, outcome, io.Cause.NONE, None, 0)
-        self._tidy(call)
+                self._report_attempt_end(now, call.attempt, outcome, io.Cause.NONE, None, 0)
+        self._drop_if_ended(call)
 
-    def _cut(self, now: int, leg: Call | Attempt, cause: int, lost: bool) -> None:
-        """A leg's circuits or connection are gone.  `lost`: nothing can be sent on it any more."""
+    def _cut_leg(self, now: int, leg: Call | Attempt, cause: int, lost: bool) -> None:
+        """Cut a call because circuits or the connection of this leg are lost.
+
+        `lost`: the connection is lost, so nothing can be sent on this leg.
+        """
         call = leg if isinstance(leg, Call) else leg.call
         reason = fields.reason(cause, "cut")
-        if isinstance(leg, Attempt) and leg.state in OPEN:
-            leg.state, leg.cut = AttemptState.CANCELLING, True  # told of when the far end has let go
-            self._call_off(now, leg)
+        if isinstance(leg, Attempt) and leg.state in OPEN_STATES:
+            # The end is reported when the far end has released the attempt.
+            leg.state, leg.cancelled_by_loss = AttemptState.CANCELLING, True
+            self._request_cancel(now, leg)
             return
         if isinstance(leg, Call) and leg.state is CallState.OFFERED:
-            self._gone(now, leg)
-            self._final(now, leg, response(leg.invite, 503, leg.tag))
+            self._report_caller_gone(now, leg)
+            self._reject_call(now, leg, response(leg.invite, 503, leg.tag))
             return
         if lost:
             self._end_leg(leg)
         else:
-            self._hang_up(now, leg, reason)
+            self._send_bye(now, leg, reason)
         if call.state is CallState.STANDING:
             other = call.attempt if leg is call else call
             if other is not None:
-                self._hang_up(now, other, reason)
-            self._over(now, call, io.Outcome.CUT)
-        self._tidy(call)
+                self._send_bye(now, other, reason)
+            self._end_standing_call(now, call, io.Outcome.CUT)
+        self._drop_if_ended(call)
 
-    def _tidy(self, call: Call) -> None:
-        """Drop a call from the table once nothing of it is left."""
+    def _drop_if_ended(self, call: Call) -> None:
+        """Remove a call from the table once the call and its attempt have ended."""
         attempt = call.attempt
-        if call.state is CallState.OVER and (attempt is None or attempt.state is AttemptState.OVER):
+        if call.state is CallState.ENDED and (attempt is None or attempt.state is AttemptState.ENDED):
             if self.calls.get(call.name) is call:
-                # No cycles: what is over is freed now, by its count, and not some day by the collector.
+                # Break the reference cycles, so that the objects are freed now by reference counting and not
+                # only by a later run of the garbage collector.
                 call.tx.owner = None
                 call.attempt = None
                 del self.calls[call.name]
-                left = self.drawn.get(call.source, 0) - 1
-                if left > 0:
-                    self.drawn[call.source] = left
+                remaining = self.call_count_by_source.get(call.source, 0) - 1
+                if remaining > 0:
+                    self.call_count_by_source[call.source] = remaining
                 else:
-                    self.drawn.pop(call.source, None)
-                self.merged.pop((call.invite.call_id, call.invite.from_tag, call.invite.cseq), None)
+                    self.call_count_by_source.pop(call.source, None)
+                self.calls_by_request.pop((call.invite.call_id, call.invite.from_tag, call.invite.cseq), None)
 
-    def _gone(self, now: int, call: Call) -> None:
-        """The caller has left a call that is not answered yet."""
+    def _report_caller_gone(self, now: int, call: Call) -> None:
+        """Report that the caller has left before the call was answered."""
         self._log("debug", "caller gone", call.name)
-        if not call.local:
+        if not call.to_own_lines:
             self.events.append(io.CallGone(call.name))
--- a/eiderstep/engine/offers.py
+++ b/eiderstep/engine/offers.py
@@ -1,4 +1,4 @@
-"""Reading an INVITE: class, destination, patience, circuits.  A fault has the status that SIP gives it."""
+"""Reads INVITEs: call class, destination, patience, circuits.  Faults are raised as `RequestRejected`."""
 
 from __future__ import annotations
 
@@ -8,14 +8,27 @@
 from eiderstep.sip import fields
 from eiderstep.sip.message import Message, uri_parts
 
-METHODS = ("INVITE", "ACK", "CANCEL", "BYE", "OPTIONS", "NOTIFY")
-KNOWN_METHODS = (*METHODS, "REGISTER", "SUBSCRIBE", "INFO", "UPDATE", "PRACK", "MESSAGE", "REFER", "PUBLISH")
-MORE_HOPS = 8  # marks that one INVITE may carry
+SUPPORTED_METHODS = ("INVITE", "ACK", "CANCEL", "BYE", "OPTIONS", "NOTIFY")
+KNOWN_METHODS = (
+    *SUPPORTED_METHODS,
+    "REGISTER",
+    "SUBSCRIBE",
+    "INFO",
+    "UPDATE",
+    "PRACK",
+    "MESSAGE",
+    "REFER",
+    "PUBLISH",
+)
+MAX_MARKS = 8  # commas at which the marks of one INVITE are split; bounds the work for a long header
 SEPARATORS = str.maketrans("", "", "-.()")
 
 
-class Unfit(Exception):
-    """A request that is answered at once: status, what is wrong, and the headers that go with it."""
+class RequestRejected(Exception):
+    """A request that gets an error response at once: its status, the fault, and headers of the response.
+
+    An underscore in the name of a header argument stands for a hyphen.
+    """
 
     def __init__(self, status: int, text: str, **headers: str) -> None:
         super().__init__(text)
@@ -25,14 +38,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Offer:
-    """What an INVITE asks for."""
+    """The call that an INVITE asks for."""
 
     number: str
     dest: int
-    cls: int
+    class_no: int
     width: int
     patience: int  # ns
-    trunk: int  # number of the exchange whose group it came over, -1 for a caller
+    via_exchange: int  # exchange over whose trunk group the call came, -1 for a caller
     circuits: tuple[int, ...]
     redialled: bool
     was_cut: bool
@@ -40,83 +53,92 @@
 
 
 class Reader:
-    """Settings prepared for reading INVITEs."""
+    """Reads INVITEs, with tables prepared from the settings."""
 
     def __init__(self, settings: ServerSettings) -> None:
         self.settings = settings
-        self.classes = {c.name: i for i, c in enumerate(settings.classes)}
-        self.default = self.classes.get(settings.default_class, -1)
+        self.class_numbers = {c.name: i for i, c in enumerate(settings.classes)}
+        self.default_class = self.class_numbers.get(settings.default_class, -1)
         self.class_header = settings.class_header.lower()
-        self.routes = {r.prefix: r.exchange for r in settings.dial_plan}
-        self.longest = max(len(r.prefix) for r in settings.dial_plan)
-        self.groups = {fields.group_name(settings.number, p.number): p.number for p in settings.peers}
+        self.exchange_by_prefix = {r.prefix: r.exchange for r in settings.dial_plan}
+        self.longest_prefix = max(len(r.prefix) for r in settings.dial_plan)
+        self.exchange_by_group = {
+            fields.group_name(settings.number, p.number): p.number for p in settings.peers
+        }
 
     def destination(self, number: str) -> int | None:
-        """The exchange of a number, by the longest prefix."""
-        for length in range(min(len(number), self.longest), -1, -1):
-            found = self.routes.get(number[:length])
-            if found is not None:
-                return found
+        """The exchange that serves a number, by longest prefix match; None if no prefix matches."""
+        for length in range(min(len(number), self.longest_prefix), -1, -1):
+            exchange = self.exchange_by_prefix.get(number[:length])
+            if exchange is not None:
+                return exchange
         return None
 
-    def trunk(self, message: Message) -> int:
-        """The exchange whose trunk group the Contact names, -1 where it names none.  Raises Unfit."""
+    def trunk_exchange(self, message: Message) -> int:
+        """The exchange whose trunk group the Contact names, -1 if it names none.
+
+        Raises RequestRejected for a trunk group that this exchange does not have.
+        """
         group, context = fields.read_trunk(message)
         if not group:
             return -1
-        found = self.groups.get(group)
-        if found is None or context != self.settings.context:
-            raise Unfit(403, f"trunk group {group!r} of {context!r} is not one of this exchange's")
-        return found
+        exchange = self.exchange_by_group.get(group)
+        if exchange is None or context != self.settings.context:
+            raise RequestRejected(
+                403, f"trunk group {group!r} of {context!r} is not a trunk group of this exchange"
+            )
+        return exchange
 
     def read(self, message: Message) -> Offer:
-        """Raises Unfit with the status that answers it."""
-        require(message)
+        """Read an INVITE.  Raises RequestRejected if it is not acceptable."""
+        check_extensions_and_hops(message)
         try:
             user = uri_parts(message.uri)[0]
         except ValueError as problem:
             status = 400 if message.uri.lower().startswith(("sip:", "sips:")) else 416
-            raise Unfit(status, str(problem)) from None
+            raise RequestRejected(status, str(problem)) from None
         number = user.partition(";")[0].lstrip("+").translate(SEPARATORS)
         dest = self.destination(number) if number.isascii() and number.isdigit() else None
         if dest is None:
-            raise Unfit(404, f"number {number[:40]!r} is not in the dial plan")
-        named = message.get(self.class_header)
-        cls = self.classes.get(named, -1) if named else self.default
-        if cls < 0:
-            raise Unfit(400, f"class {named[:40]!r}; allowed: {', '.join(self.classes)}")
-        chosen = self.settings.classes[cls]
-        marks = message.get(fields.MARKS).split(",", MORE_HOPS)
+            raise RequestRejected(404, f"number {number[:40]!r} is not in the dial plan")
+        class_name = message.get(self.class_header)
+        class_no = self.class_numbers.get(class_name, -1) if class_name else self.default_class
+        if class_no < 0:
+            raise RequestRejected(400, f"class {class_name[:40]!r}; allowed: {', '.join(self.class_numbers)}")
+        call_class = self.settings.classes[class_no]
+        marks = message.get(fields.MARKS).split(",", MAX_MARKS)
         advice = message.get(fields.ADVICE)
-        trunk = self.trunk(message)
+        origin = self.trunk_exchange(message)
         return Offer(
             number=number,
             dest=dest,
-            cls=cls,
-            width=chosen.width,
-            patience=fields.read_patience(message, chosen.give_up),
-            trunk=trunk,
-            circuits=self._circuits(message, chosen.width) if trunk >= 0 else (),
+            class_no=class_no,
+            width=call_class.width,
+            patience=fields.read_patience(message, call_class.give_up),
+            via_exchange=origin,
+            circuits=self._read_circuits(message, call_class.width) if origin >= 0 else (),
             redialled=any(m.strip() == "redialled" for m in marks),
             was_cut=any(m.strip() == "cut" for m in marks),
-            hint=trunk if trunk >= 0 else int(advice) if advice.isascii() and advice.isdigit() else -1,
+            hint=origin if origin >= 0 else int(advice) if advice.isascii() and advice.isdigit() else -1,
         )
 
     @staticmethod
-    def _circuits(message: Message, width: int) -> tuple[int, ...]:
+    def _read_circuits(message: Message, width: int) -> tuple[int, ...]:
         text = message.get(fields.CIRCUITS)
         try:
             circuits = fields.read_circuits(text)
         except ValueError:
-            raise Unfit(400, f"circuits {text[:40]!r} are not numbers between commas") from None
+            raise RequestRejected(
+                400, f"circuits {text[:40]!r} are not distinct numbers separated by commas"
+            ) from None
         if len(circuits) != width:
-            raise Unfit(400, f"{len(circuits)} circuits; a call of this class takes {width}")
+            raise RequestRejected(400, f"{len(circuits)} circuits; a call of this class needs {width}")
         return circuits
 
 
-def require(message: Message) -> None:
-    """Sections 8.2.2.3 and 16.3: extensions we lack, and hops used up.  Raises Unfit."""
+def check_extensions_and_hops(message: Message) -> None:
+    """Check Require and Max-Forwards (RFC 3261, sections 8.2.2.3 and 16.3).  Raises RequestRejected."""
     if wanted := message.get("require"):
-        raise Unfit(420, f"extension {wanted[:40]!r} is not served", unsupported=wanted)
+        raise RequestRejected(420, f"extension {wanted[:40]!r} is not supported", unsupported=wanted)
     if message.get("max-forwards", "70") == "0":
-        raise Unfit(483, "no hop left")
+        raise RequestRejected(483, "Max-Forwards is 0")
--- a/eiderstep/engine/requests.py
+++ b/eiderstep/engine/requests.py
@@ -1,4 +1,4 @@
-"""Requests that come in, one handler each; what they mean for calls, circuits and the module's events."""
+"""Handlers of incoming requests, one for each method."""
 
 from __future__ import annotations
 
@@ -12,45 +12,46 @@
 from eiderstep.engine import mapping, offers
 from eiderstep.engine.calls import Attempt, AttemptState, Call, CallState
 from eiderstep.engine.circuits import read_ranges, within
-from eiderstep.engine.legs import Legs
+from eiderstep.engine.legs import CallTable
 from eiderstep.sip import fields
 from eiderstep.sip.message import Message, response
 from eiderstep.sip.parser import BadMessage
 from eiderstep.sip.transaction import Transaction
 from eiderstep.trust.rules import Act, refusal
 
-TRYING_AFTER = 200_000_000  # ns, section 17.2.1
+TRYING_DELAY = 200_000_000  # ns (RFC 3261, section 17.2.1)
 
 
-class Requests(Legs):
-    """The side of the engine that callers and far ends speak to."""
+class RequestHandler(CallTable):
+    """Handles requests of callers and peers; `Engine` adds responses and the module's actions."""
 
-    def __init__(self, settings: ServerSettings, here: str, ids: Random | None = None) -> None:
-        super().__init__(settings, here, ids)
+    def __init__(self, settings: ServerSettings, own_address: str, ids: Random | None = None) -> None:
+        super().__init__(settings, own_address, ids)
         self.reader = offers.Reader(settings)
-        self.links: dict[str, int] = {}
+        self.links: dict[str, int] = {}  # flows by address
         self.stopping = False
-        self.waited = 0  # how long what comes now may have lain unread (ns): a call is that much older
+        self.waited = 0  # ns that the current input may have been queued unread; a call is that much older
 
     def _transmit_invite(self, now: int, call: Call, attempt: Attempt, flow: int) -> None:
+        """Send the INVITE of an attempt; implemented by `Engine`."""
         raise NotImplementedError
 
-    def _bad(self, flow: int, problem: BadMessage) -> None:
-        """Malformed: the right 4xx where it has what a response needs, else only a line and a count."""
+    def _reject_malformed(self, flow: int, problem: BadMessage) -> None:
+        """Log and count a malformed message, and answer it with a 4xx if a response can be built."""
         self._count("malformed")
         self._log("warning", "malformed message", why=problem.text, status=problem.status, flow=flow)
         message = problem.message
         if message is not None and message.method not in ("", "?", "ACK") and "via" in message.headers:
-            self._stateless(flow, message, problem.status)
+            self._respond_statelessly(flow, message, problem.status)
         if problem.fatal:
             self.effects.append(fx.CloseFlow(flow, problem.text))
 
-    def _stranger(self, flow: int, item: Message | BadMessage) -> None:
-        """Nobody: a request is answered without any state (section 8.2.7), all else falls away.
+    def _reject_unknown_sender(self, flow: int, item: Message | BadMessage) -> None:
+        """Answer an unknown sender's request with a stateless 403 (RFC 3261, section 8.2.7); drop the rest.
 
-        Danger: a transaction for each message of a stranger would hold memory for 64 x T1, and a log line
-        for each fill the disk.  Over UDP its address may be another's, whom the answers would flood: there it
-        gets none.  Hurts an honest sender that the settings do not name: all it gets is a 403.
+        A transaction for each message would hold memory for 64 x T1, and a log line for each would fill the
+        disk.  Over UDP there is no response, because the source address may be forged and its owner would be
+        flooded.  Cost: a legitimate sender that the settings do not name gets no more than a 403.
         """
         self._count("strangers")
         if flow in self.unreliable:
@@ -58,107 +59,126 @@
         message = item.message if isinstance(item, BadMessage) else item
         self._log("warning", "stranger refused", flow=flow, method=message.method[:20] if message else "")
         if message is not None and message.method not in ("", "?", "ACK") and "via" in message.headers:
-            self._stateless(flow, message, 403)
+            self._respond_statelessly(flow, message, 403)
         if isinstance(item, BadMessage) and item.fatal:
             self.effects.append(fx.CloseFlow(flow, item.text))
 
-    def _stateless(self, flow: int, message: Message, status: int, wait: int = 0) -> None:
+    def _respond_statelessly(self, flow: int, message: Message, status: int, wait: int = 0) -> None:
         answer = response(message, status, self._id())
         fields.write_wait(answer, wait)
         self.out.append((flow, answer.encode()))
 
-    def _demand(self, act: Act, flow: int, about: int = -1, own: bool = False, what: str = "") -> None:
-        """Raises Unfit where the rules of trust forbid it."""
-        rule = refusal(act, self.who(flow), about, own)
+    def _require_allowed(
+        self, act: Act, flow: int, exchange: int = -1, own: bool = False, subject: str = ""
+    ) -> None:
+        """Raise RequestRejected if the trust rules do not allow the act to the sender.
+
+        `exchange` and `own`: see `trust.rules.refusal`.  `subject` names the act in the count and the error.
+        """
+        rule = refusal(act, self.who(flow), exchange, own)
         if rule is not None:
-            what = what or act.name.lower()
-            self._count(f"not believed: {what}")
-            said = "no such call" if act is Act.WITHIN else f"{what} from {self.who(flow)}"
-            raise offers.Unfit(rule.status, said)
+            subject = subject or act.name.lower()
+            self._count(f"not believed: {subject}")
+            text = "no such call" if act is Act.WITHIN else f"{subject} not allowed from {self.who(flow)}"
+            raise offers.RequestRejected(rule.status, text)
+
+    def _leg_of_dialog(self, flow: int, message: Message, tag: str) -> Call | Attempt:
+        """The leg of a request's dialog.
 
-    def _within(self, flow: int, message: Message, tag: str) -> Call | Attempt:
-        """The leg of a dialog, for its own peer alone.  Raises Unfit."""
+        Raises RequestRejected if there is none, or if the sender is not the peer of that dialog.
+        """
         leg = self.dialogs.get((message.call_id, tag))
         if leg is None or leg.dialog is None:
-            raise offers.Unfit(481, "no such call")
-        self._demand(Act.WITHIN, flow, own=self.same_peer(flow, leg.dialog.flow), what=message.method)
+            raise offers.RequestRejected(481, "no such call")
+        self._require_allowed(
+            Act.WITHIN, flow, own=self.same_peer(flow, leg.dialog.flow), subject=message.method
+        )
         return leg
 
-    def _request(self, now: int, tx: Transaction, message: Message) -> None:
-        handler = REQUESTS.get(message.method)
+    def _dispatch_request(self, now: int, tx: Transaction, message: Message) -> None:
+        handler = REQUEST_HANDLERS.get(message.method)
         try:
             if handler is None:
                 known = message.method in offers.KNOWN_METHODS
-                raise offers.Unfit(
-                    405 if known else 501, f"method {message.method[:20]!r}", allow=", ".join(offers.METHODS)
+                raise offers.RequestRejected(
+                    405 if known else 501,
+                    f"method {message.method[:20]!r} is not supported",
+                    allow=", ".join(offers.SUPPORTED_METHODS),
                 )
             handler(self, now, tx, message)
-        except offers.Unfit as unfit:
+        except offers.RequestRejected as rejected:
             self._count("unfit")
-            said = {"status": unfit.status, "why": unfit.text, "flow": tx.flow}
-            self._log("info", "request not served", message.get("session-id"), **said)
-            answer = response(message, unfit.status, self._id())
-            for name, value in unfit.headers.items():
+            labels = {"status": rejected.status, "why": rejected.text, "flow": tx.flow}
+            self._log("info", "request not served", message.get("session-id"), **labels)
+            answer = response(message, rejected.status, self._id())
+            for name, value in rejected.headers.items():
                 answer.set(name, value)
             self.transactions.respond(now, tx, answer)
 
-    def _invite(self, now: int, tx: Transaction, message: Message) -> None:
+    def _handle_invite(self, now: int, tx: Transaction, message: Message) -> None:
         if message.to_tag:
-            self._within(tx.flow, message, message.to_tag)
-            raise offers.Unfit(488, "sessions are not changed")
-        mark = (message.call_id, message.from_tag, message.cseq)
-        if mark in self.merged:
-            raise offers.Unfit(482, "the same INVITE came before, over another branch")
+            self._leg_of_dialog(tx.flow, message, message.to_tag)
+            raise offers.RequestRejected(488, "re-INVITE is not supported")
+        request_key = (message.call_id, message.from_tag, message.cseq)
+        if request_key in self.calls_by_request:
+            raise offers.RequestRejected(
+                482, "merged request: this INVITE has already arrived with another branch"
+            )
         limits = self.settings.limits
         if self.stopping or len(self.calls) >= limits.calls:
-            raise offers.Unfit(503, "stopping" if self.stopping else "call table full", retry_after="1")
+            raise offers.RequestRejected(
+                503, "server is stopping" if self.stopping else "call table full", retry_after="1"
+            )
         source = self.who(tx.flow).source
-        if self.drawn.get(source, 0) >= limits.source.calls:
+        if self.call_count_by_source.get(source, 0) >= limits.source.calls:
             self._count("calls over the limit of a source")
-            raise offers.Unfit(503, f"{limits.source.calls} calls of one source", retry_after="1")
+            raise offers.RequestRejected(
+                503, f"source has reached its limit of {limits.source.calls} calls", retry_after="1"
+            )
         offer = self.reader.read(message)
-        self._allowed(tx.flow, message, offer)
+        self._check_permissions(tx.flow, message, offer)
         if offer.dest == self.settings.number and self.settings.lines is None:
-            raise offers.Unfit(404, "this exchange has no lines of its own")
+            raise offers.RequestRejected(404, "this exchange has no subscriber lines")
         name = message.get("session-id").partition(";")[0]
         if not name or name in self.calls:
             name = f"{name or 'call'}-{self._id()}"
         expires = max(now - self.waited + offer.patience - self.settings.rules.answer_margin, now)
-        call = Call(name, tx.flow, tx, message, self._id(), offer.cls, offer.width, offer.dest, expires)
-        if offer.trunk >= 0:
-            ledger = self.ledgers[offer.trunk]
-            held, losers = ledger.claim(offer.circuits, call)
-            if not held:
+        call = Call(name, tx.flow, tx, message, self._id(), offer.class_no, offer.width, offer.dest, expires)
+        if offer.via_exchange >= 0:
+            group = self.ledgers[offer.via_exchange]
+            accepted, losers = group.claim(offer.circuits, call)
+            if not accepted:
                 self._count("glare lost")
-                raise offers.Unfit(
+                raise offers.RequestRejected(
                     503,
-                    f"circuits {offer.circuits} are not to be had",
+                    f"circuits {offer.circuits} are out of range, blocked or already seized",
                     reason=fields.reason(fields.NOT_THIS_CIRCUIT),
                 )
             if losers:
                 self._count("glare yielded")
-            call.ledger, call.circuits, call.transit = ledger, offer.circuits, True
-            self.dirty.add(offer.trunk)
+            call.group, call.circuits, call.transit = group, offer.circuits, True
+            self.changed_groups.add(offer.via_exchange)
         tx.owner = call
-        # Section 17.2.1: no 100 where the answer comes within 200 ms; over UDP it stops resends, so at once.
+        # No 100 is needed if the response comes within 200 ms (RFC 3261, section 17.2.1).  Over UDP it is
+        # sent at once, because it stops the retransmission of the INVITE.
         if tx.reliable:
-            call.trying = self._at(now + TRYING_AFTER, lambda at: self._trying(at, call))
+            call.trying_timer = self._schedule(now + TRYING_DELAY, lambda at: self._send_trying(at, call))
         else:
-            self._trying(now, call)
-        self.calls[name] = self.merged[mark] = call
+            self._send_trying(now, call)
+        self.calls[name] = self.calls_by_request[request_key] = call
         call.source = source
-        self.drawn[source] = self.drawn.get(source, 0) + 1
+        self.call_count_by_source[source] = self.call_count_by_source.get(source, 0) + 1
         if self.verbose:
             self._log("debug", "call offered", name, dest=offer.dest, transit=call.transit)
         if offer.dest == self.settings.number:
-            self._to_lines(now, call)
+            self._route_to_own_lines(now, call)
             return
         if self.meter is not None and not call.transit:
-            call.redial = self.meter.tried(now, offer.dest, offer.cls, message.uri, offer.redialled)
+            call.redial = self.meter.tried(now, offer.dest, offer.class_no, message.uri, offer.redialled)
         self.events.append(
             io.CallOffered(
                 name,
-                offer.cls,
+                offer.class_no,
                 offer.dest,
                 offer.width,
                 expires,
@@ -170,105 +190,110 @@
             )
         )
 
-    def _allowed(self, flow: int, message: Message, offer: offers.Offer) -> None:
-        """Whether the sender may ask for this call, with these headers.  Raises Unfit."""
-        if offer.trunk >= 0:
-            self._demand(Act.TRANSIT, flow, offer.trunk)
-            who = self.who(flow)
-            if len(who.exchanges) > 1:  # several at one address: from here on it is the one that it said
-                self.meet(flow, replace(who, exchanges=frozenset([offer.trunk])))
+    def _check_permissions(self, flow: int, message: Message, offer: offers.Offer) -> None:
+        """Raise RequestRejected if the sender may not request this call, or not with these headers."""
+        if offer.via_exchange >= 0:
+            self._require_allowed(Act.TRANSIT, flow, offer.via_exchange)
+            party = self.who(flow)
+            if len(party.exchanges) > 1:  # several at one address; the group named here settles which
+                self.meet(flow, replace(party, exchanges=frozenset([offer.via_exchange])))
         else:
-            self._demand(Act.CALL, flow)
+            self._require_allowed(Act.CALL, flow)
             if message.get(fields.CIRCUITS):
-                self._demand(Act.CIRCUITS, flow, what="circuits without a group")
+                self._require_allowed(Act.CIRCUITS, flow, subject="circuits without a group")
         if message.get(fields.MARKS):
-            self._demand(Act.MARKS, flow)
+            self._require_allowed(Act.MARKS, flow)
         if message.get(fields.ADVICE):
-            self._demand(Act.ADVICE, flow)
+            self._require_allowed(Act.ADVICE, flow)
         caller = self.who(flow).caller
-        named = caller is not None and self.settings.classes[offer.cls].name in caller.classes
-        self._demand(Act.CLASS, flow, own=named)
+        class_allowed = caller is not None and self.settings.classes[offer.class_no].name in caller.classes
+        self._require_allowed(Act.CLASS, flow, own=class_allowed)
 
-    def _trying(self, now: int, call: Call) -> None:
+    def _send_trying(self, now: int, call: Call) -> None:
         if call.state is CallState.OFFERED:
             self.transactions.respond(now, call.tx, response(call.invite, 100))
 
-    def _to_lines(self, now: int, call: Call) -> None:
-        """A call for our own subscribers has one place to go; there is nothing to decide."""
-        call.local = True
+    def _route_to_own_lines(self, now: int, call: Call) -> None:
+        """Send a call for an own subscriber on to `lines`; with one route there is nothing to decide."""
+        call.to_own_lines = True
         address = self.settings.lines or ""
         if call.expires <= now:
-            # Danger: no time is left but the margin, and a timer falls due on the next tick, past it.
-            self._final(now, call, response(call.invite, 480, call.tag))
+            # No time is left before the answer margin.  The deadline timer would run at the next tick, too
+            # late, so the call is rejected here.
+            self._reject_call(now, call, response(call.invite, 480, call.tag))
             return
         attempt = call.attempt = Attempt(call, 0, address, -1, now, call.expires)
         if address not in self.links:
-            attempt.state = AttemptState.OVER
-            self._final(now, call, response(call.invite, 480, call.tag))
+            attempt.state = AttemptState.ENDED
+            self._reject_call(now, call, response(call.invite, 480, call.tag))
             return
         self._transmit_invite(now, call, attempt, self.links[address])
 
-    def _cancelled(self, now: int, tx: Transaction, message: Message) -> None:
+    def _handle_cancel(self, now: int, tx: Transaction, message: Message) -> None:
         target = self.transactions.servers.get(self.transactions.server_key(tx.flow, message, "INVITE"))
         if target is None:
-            raise offers.Unfit(481, "nothing to cancel")
+            raise offers.RequestRejected(481, "no transaction matches the CANCEL")
         self.transactions.respond(now, tx, response(message, 200, self._id()))
         call = target.owner
         if isinstance(call, Call) and call.state is CallState.OFFERED:
-            self._gone(now, call)
-            self._final(now, call, response(call.invite, 487, call.tag))
+            self._report_caller_gone(now, call)
+            self._reject_call(now, call, response(call.invite, 487, call.tag))
 
-    def _bye(self, now: int, tx: Transaction, message: Message) -> None:
-        leg = self._within(tx.flow, message, message.to_tag)
+    def _handle_bye(self, now: int, tx: Transaction, message: Message) -> None:
+        leg = self._leg_of_dialog(tx.flow, message, message.to_tag)
         assert leg.dialog is not None
         if not leg.dialog.accepts(message):
-            raise offers.Unfit(500, "CSeq is lower than the last")
+            raise offers.RequestRejected(500, "CSeq is not higher than in the last request")
         self.transactions.respond(now, tx, response(message, 200))
         self._end_leg(leg)
         outcome = io.Outcome.CUT if mapping.was_cut(message) else io.Outcome.RELEASED
         reason = message.get("reason") or fields.reason(fields.NORMAL)
         if isinstance(leg, Call):
             if leg.attempt is not None:
-                self._hang_up(now, leg.attempt, reason)
-            self._over(now, leg, outcome)
+                self._send_bye(now, leg.attempt, reason)
+            self._end_standing_call(now, leg, outcome)
         else:
             if leg.call.attempt is leg and leg.call.state is CallState.STANDING:
-                self._hang_up(now, leg.call, reason)
-                self._over(now, leg.call, outcome)
+                self._send_bye(now, leg.call, reason)
+                self._end_standing_call(now, leg.call, outcome)
 
-    def _options(self, now: int, tx: Transaction, message: Message) -> None:
-        offers.require(message)
+    def _handle_options(self, now: int, tx: Transaction, message: Message) -> None:
+        offers.check_extensions_and_hops(message)
         answer = response(message, 200, self._id())
-        answer.set("allow", ", ".join(offers.METHODS))
+        answer.set("allow", ", ".join(offers.SUPPORTED_METHODS))
         self.transactions.respond(now, tx, answer)
 
-    def _notify(self, now: int, tx: Transaction, message: Message) -> None:
-        """The whole set of a group's blocked circuits (docs/protocol.md)."""
+    def _handle_notify(self, now: int, tx: Transaction, message: Message) -> None:
+        """Replace a trunk group's set of blocked circuits (docs/protocol.md) and cut the calls on them."""
         if message.get("event") != fields.CIRCUITS:
-            raise offers.Unfit(489, f"event {message.get('event')[:40]!r}; allowed: {fields.CIRCUITS}")
-        number = self.reader.trunk(message)
+            raise offers.RequestRejected(
+                489, f"event {message.get('event')[:40]!r}; allowed: {fields.CIRCUITS}"
+            )
+        number = self.reader.trunk_exchange(message)
         if number < 0:
-            raise offers.Unfit(400, "the Contact names no trunk group")
-        self._demand(Act.CIRCUITS, tx.flow, number)
-        ledger = self.ledgers[number]
+            raise offers.RequestRejected(400, "the Contact names no trunk group")
+        self._require_allowed(Act.CIRCUITS, tx.flow, number)
+        group = self.ledgers[number]
         text = message.get(fields.CIRCUITS)
         try:
-            blocked = within(read_ranges(text), ledger.total) if text else set()
+            blocked = within(read_ranges(text), group.total) if text else set()
         except ValueError:
-            raise offers.Unfit(400, f"circuits {text[:40]!r} are no ranges") from None
+            raise offers.RequestRejected(
+                400, f"circuits {text[:40]!r} are not ranges such as 0-3,7"
+            ) from None
         self.transactions.respond(now, tx, response(message, 200, self._id()))
-        ledger.unblock(sorted(ledger.blocked - blocked))
-        self.dirty.add(number)
-        self._log("warning", "circuits blocked", peer=number, blocked=len(blocked), size=ledger.size)
-        for owner in ledger.block(sorted(blocked)):
+        group.unblock(sorted(group.blocked - blocked))
+        self.changed_groups.add(number)
+        self._log("warning", "circuits blocked", peer=number, blocked=len(blocked), size=group.size)
+        for owner in group.block(sorted(blocked)):
             if isinstance(owner, Call | Attempt):
-                self._cut(now, owner, fields.NETWORK_OUT, lost=False)
+                self._cut_leg(now, owner, fields.NETWORK_OUT, lost=False)
 
 
-REQUESTS: dict[str, Callable[[Requests, int, Transaction, Message], None]] = {
-    "INVITE": Requests._invite,
-    "CANCEL": Requests._cancelled,
-    "BYE": Requests._bye,
-    "OPTIONS": Requests._options,
-    "NOTIFY": Requests._notify,
+REQUEST_HANDLERS: dict[str, Callable[[RequestHandler, int, Transaction, Message], None]] = {
+    "INVITE": RequestHandler._handle_invite,
+    "CANCEL": RequestHandler._handle_cancel,
+    "BYE": RequestHandler._handle_bye,
+    "OPTIONS": RequestHandler._handle_options,
+    "NOTIFY": RequestHandler._handle_notify,
 }
--- a/eiderstep/engine/timers.py
+++ b/eiderstep/engine/timers.py
@@ -1,4 +1,7 @@
-"""A heap of timers without a clock, and what decides: what every call table stands on, whatever its wire."""
+"""Shared base of the call tables for SIP and for the platform's protocol: timers, and the decider's type.
+
+The timers have no clock of their own; the caller passes the time, in ns.
+"""
 
 from __future__ import annotations
 
@@ -9,52 +12,52 @@
 from eiderstep import interface as io
 
 
-class Decider(Protocol):
-    """What a call table asks: the module, or in a lab something to compare it with."""
+class DecisionModule(Protocol):
+    """Interface of the decision module, which lab code can replace by another implementation."""
 
     def handle(self, now: int, events: list[io.Event]) -> list[io.Action]: ...
 
 
-Mind = Callable[[io.Settings, int], Decider]  # from settings and seed
+Mind = Callable[[io.Settings, int], DecisionModule]  # called with settings and seed
 
 
 class Entry:
-    """A timer.  Called off it stays in the heap, but holds nothing alive."""
+    """A timer.  Once cancelled it stays in the heap, but no longer references its callback."""
 
-    __slots__ = ("what",)
+    __slots__ = ("callback",)
 
-    def __init__(self, what: Callable[[int], None]) -> None:
-        self.what: Callable[[int], None] | None = what
+    def __init__(self, callback: Callable[[int], None]) -> None:
+        self.callback: Callable[[int], None] | None = callback
 
     def call_off(self) -> None:
-        self.what = None
+        self.callback = None
 
 
 class Timers:
-    """Things to do at a time (ns), earliest first, and of one time in the order in which they were set."""
+    """Callbacks in order of their due time (ns); those due at one time run in the order of scheduling."""
 
-    __slots__ = ("entries", "heap")
+    __slots__ = ("sequence", "heap")
 
     def __init__(self) -> None:
         self.heap: list[tuple[int, int, Entry]] = []
-        self.entries = 0
+        self.sequence = 0
 
-    def at(self, due: int, what: Callable[[int], None]) -> Entry:
-        """Do something at a time; the entry can be called off."""
-        self.entries += 1
-        entry = Entry(what)
-        heapq.heappush(self.heap, (due, self.entries, entry))
+    def at(self, due: int, callback: Callable[[int], None]) -> Entry:
+        """Schedule a callback, which gets the time at which it runs; `call_off` of the result cancels it."""
+        self.sequence += 1
+        entry = Entry(callback)
+        heapq.heappush(self.heap, (due, self.sequence, entry))
         return entry
 
     def run(self, now: int) -> None:
-        """Do what is due."""
+        """Run all callbacks that are due."""
         while self.heap and self.heap[0][0] <= now:
-            what = heapq.heappop(self.heap)[2].what
-            if what is not None:
-                what(now)
+            callback = heapq.heappop(self.heap)[2].callback
+            if callback is not None:
+                callback(now)
 
     def next_due(self) -> int | None:
-        """When `run` is wanted next (ns)."""
-        while self.heap and self.heap[0][2].what is None:
+        """Due time of the earliest timer (ns), None if there is none."""
+        while self.heap and self.heap[0][2].callback is None:
             heapq.heappop(self.heap)
         return self.heap[0][0] if self.heap else None
--- a/tests/sip_rig.py
+++ b/tests/sip_rig.py
@@ -1,4 +1,4 @@
-"""The engine driven by hand: messages in, messages out, no socket and no clock but this."""
+"""Drives the SIP engine in tests: messages in, messages out, with a simulated clock and no sockets."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from eiderstep.trust.party import Party
 
 MS, SECOND = 1_000_000, 1_000_000_000
-CALLER, PEER = 1, 2  # flows
+CALLER, SECOND_CALLER = 1, 2  # flows
 
 
 def settings(**changes: object) -> ServerSettings:
@@ -31,7 +31,11 @@
 
 
 class Rig:
-    """One engine; flow 1 is a caller, flows 11 and 12 are the links to exchanges 1 and 2."""
+    """One engine with simulated connections.
+
+    Flows 1 to 4 are callers, 11 and 12 the links to exchanges 1 and 2, 21 and 22 connections that these
+    exchanges have opened.
+    """
 
     def __init__(self, links: tuple[int, ...] = (1, 2), **changes: object) -> None:
         self.now = 1000 * SECOND
@@ -39,9 +43,9 @@
         self.parsers: dict[int, Parser] = {}
         self.sent: list[tuple[int, Message]] = []
         self.effects: list[Effect] = []
-        self.n = 0
+        self.invites_made = 0
         self.engine.begin(self.now)
-        for flow in (CALLER, PEER, 3, 4):
+        for flow in (CALLER, SECOND_CALLER, 3, 4):
             self.engine.meet(flow, Party(caller=Caller(name="own", advice=True), source="c"))
         for number in (1, 2):
             self.engine.meet(20 + number, Party(frozenset([number]), source=f"10.0.0.{number}"))
@@ -50,16 +54,16 @@
         self.flush()
 
     def flush(self) -> list[tuple[int, Message]]:
-        """What goes out now."""
+        """The messages that the engine sends now, as (flow, message)."""
         self.effects += self.engine.flush(self.now)
-        fresh: list[tuple[int, Message]] = []
+        outgoing: list[tuple[int, Message]] = []
         for flow, data in self.engine.out:
             for item in self.parsers.setdefault(flow, Parser()).feed(data):
                 assert isinstance(item, Message), item
-                fresh.append((flow, item))
+                outgoing.append((flow, item))
         self.engine.out.clear()
-        self.sent += fresh
-        return fresh
+        self.sent += outgoing
+        return outgoing
 
     def give(self, flow: int, *messages: Message) -> list[tuple[int, Message]]:
         for message in messages:
@@ -67,34 +71,35 @@
         return self.flush()
 
     def run(self, seconds: float) -> list[tuple[int, Message]]:
-        """Let time pass, with every timer at its moment."""
-        end, fresh = self.now + int(seconds * SECOND), []
+        """Advance the clock, running each timer when it is due; returns the messages sent."""
+        end, outgoing = self.now + int(seconds * SECOND), []
         while (due := self.engine.next_due()) is not None and due <= end:
             self.now = max(self.now, due)
             self.engine.due(self.now)
-            fresh += self.flush()
+            outgoing += self.flush()
         self.now = end
-        return fresh
+        return outgoing
 
     def invite(
         self, number: str = "1000", cls: str = "plain", patience: str = "3", **headers: str
     ) -> Message:
-        """An INVITE of a caller, with an identity of its own."""
-        self.n += 1
+        """A new INVITE of a caller; `patience` in seconds, `headers` with underscores for hyphens."""
+        self.invites_made += 1
         message = request(
-            "INVITE", f"sip:{number}@10.0.0.9", via=f"SIP/2.0/TCP c;branch=z9hG4bKc{self.n}",
-            sender=f"<sip:c@c>;tag=c{self.n}", to=f"<sip:{number}@10.0.0.9>", call_id=f"call{self.n}", cseq=1,
+            "INVITE", f"sip:{number}@10.0.0.9", via=f"SIP/2.0/TCP c;branch=z9hG4bKc{self.invites_made}",
+            sender=f"<sip:c@c>;tag=c{self.invites_made}", to=f"<sip:{number}@10.0.0.9>",
+            call_id=f"call{self.invites_made}", cseq=1,
         )  # fmt: skip
         message.set("contact", "<sip:c@c>")
         message.set("eiderstep-class", cls)
         message.set("eiderstep-patience", str(int(float(patience) * 1000)))
-        message.set("session-id", f"{self.n:032x}")
+        message.set("session-id", f"{self.invites_made:032x}")
         for name, value in headers.items():
             message.set(name.replace("_", "-"), value)
         return message
 
     def from_peer(self, peer: int, circuits: str, number: str = "2000", **headers: str) -> Message:
-        """An INVITE in transit over the group of an exchange."""
+        """A new INVITE in transit over the trunk group to exchange `peer`."""
         contact = f"<sip:trunk;tgrp=0-{peer};trunk-context=t@10.0.0.{peer}>"
         message = self.invite(number, **headers)
         message.set("contact", contact)
@@ -102,22 +107,22 @@
         return message
 
     def call(self, number: str = "1000", **more: str) -> tuple[Message, Message]:
-        """A call that is offered; returns the caller's INVITE and the set-up sent on."""
-        mine = self.invite(number, **more)
-        return mine, one(self.give(CALLER, mine), "INVITE")
+        """Offer a call; returns the caller's INVITE and the INVITE of the set-up sent on."""
+        invite = self.invite(number, **more)
+        return invite, one(self.give(CALLER, invite), "INVITE")
 
     def stand(self, number: str = "1000") -> tuple[Message, Message, Message]:
-        """A call that stands; returns both INVITEs and the 200 that the caller got."""
-        mine, set_up = self.call(number)
+        """Establish a call; returns both INVITEs and the 200 that the caller got."""
+        invite, set_up = self.call(number)
         flow = 10 + int(number[0])
-        fresh = self.give(flow, answer(set_up, 100), answer(set_up, 200))
-        return mine, set_up, one(fresh, 200)
+        outgoing = self.give(flow, answer(set_up, 100), answer(set_up, 200))
+        return invite, set_up, one(outgoing, 200)
 
     def free(self, peer: int = 1) -> int:
         return self.engine.ledgers[peer].free
 
     def finals(self, invite: Message) -> list[int]:
-        """Every final status that the caller of an INVITE got."""
+        """All final statuses that the caller got to an INVITE."""
         return [
             m.status for _, m in self.sent
             if m.status >= 200 and m.call_id == invite.call_id and m.cseq_method == "INVITE"
@@ -125,7 +130,7 @@
 
 
 def answer(to: Message, status: int, **headers: str) -> Message:
-    """A far end's response."""
+    """A response of the far end."""
     message = response(to, status, f"far{to.call_id[:6]}")
     message.set("contact", "<sip:far@10.0.0.1>")
     for name, value in headers.items():
@@ -134,7 +139,7 @@
 
 
 def bye(of: Message, dialog: Message, cseq: int = 2, reason: str = "") -> Message:
-    """A BYE of the caller, by its INVITE and the 200 it got."""
+    """The caller's BYE for the call of its INVITE `of`; `dialog` is the 200 that it got."""
     message = request(
         "BYE", "sip:x@10.0.0.9", via=f"SIP/2.0/TCP c;branch=z9hG4bKb{of.call_id}{cseq}",
         sender=of.get("from"), to=dialog.get("to"), call_id=of.call_id, cseq=cseq,
@@ -144,7 +149,7 @@
 
 
 def far_bye(set_up: Message, reason: str = "", cseq: int = 1) -> Message:
-    """A BYE of the far end on a set-up of ours that stands."""
+    """The far end's BYE for a standing call, by the INVITE of its set-up."""
     tagged = answer(set_up, 200)
     message = request(
         "BYE", "sip:x@10.0.0.9", via=f"SIP/2.0/TCP f;branch=z9hG4bKf{set_up.call_id[:9]}{cseq}",
@@ -160,12 +165,14 @@
     return cancel(invite)
 
 
-def one(fresh: list[tuple[int, Message]], what: str | int) -> Message:
-    """The one message of that method or status."""
-    found = [m for _, m in fresh if what in (m.method, m.status) and (m.method or m.cseq_method == "INVITE")]
-    assert len(found) == 1, (what, fresh)
+def one(outgoing: list[tuple[int, Message]], what: str | int) -> Message:
+    """The only message with that method or status; fails if there is none or more than one."""
+    found = [
+        m for _, m in outgoing if what in (m.method, m.status) and (m.method or m.cseq_method == "INVITE")
+    ]
+    assert len(found) == 1, (what, outgoing)
     return found[0]
 
 
-def none(fresh: list[tuple[int, Message]], what: str | int) -> bool:
-    return all(what not in (m.method, m.status) for _, m in fresh)
+def has_no(outgoing: list[tuple[int, Message]], what: str | int) -> bool:
+    return all(what not in (m.method, m.status) for _, m in outgoing)
--- a/tests/test_circuits.py
+++ b/tests/test_circuits.py
@@ -1,4 +1,4 @@
-"""The ledger: exact counts whatever happens, and no circuit lost or held twice."""
+"""Circuits of a trunk group: counts stay exact, and no circuit is lost or held by two owners."""
 
 from __future__ import annotations
 
@@ -65,8 +65,8 @@
             assert all(c < size for c in range(ledger.total) if c not in ledger.blocked)
         usable = [c for c in range(ledger.total) if c not in ledger.busy and c not in ledger.blocked]
         assert ledger.free == len(usable) and ledger.size == ledger.total - len(ledger.blocked)
-        assert set(usable) <= ledger._listed, "a free circuit that nobody can find"
-        assert len(ledger._ours) + len(ledger._theirs) <= ledger.total, "the lists do not grow"
+        assert set(usable) <= ledger._in_heaps, "a free circuit that nobody can find"
+        assert len(ledger._controlled) + len(ledger._uncontrolled) <= ledger.total, "the lists do not grow"
     for holder in holders:
         ledger.release(holder.circuits, holder)
     ledger.unblock(list(ledger.blocked))
@@ -74,52 +74,53 @@
     assert len(ledger.seize(size, Holder())) == size if size else True
 
 
-def test_a_group_that_shrinks_keeps_its_calls_and_takes_no_new_ones_there() -> None:
-    ledger = Ledger(6, 5, 3)
+def test_removed_circuits_keep_their_calls_and_are_not_seized_again() -> None:
+    group = Ledger(6, 5, 3)
     holders = [Holder() for _ in range(3)]
     for holder in holders:
-        holder.circuits = ledger.seize(2, holder)
-    ledger.resize(3)
-    assert (ledger.size, ledger.free) == (3, 0) and len(ledger.busy) == 6, "nobody is cut"
+        holder.circuits = group.seize(2, holder)
+    group.resize(3)
+    assert (group.size, group.free) == (3, 0) and len(group.busy) == 6, "no call is cut"
     for holder in holders:
-        ledger.release(holder.circuits, holder)
-    assert ledger.free == 3 and sorted(ledger.seize(3, Holder())) == [0, 1, 2]
-    ledger.unblock(range(6))
-    assert ledger.size == 3, "the far end's word on blocking does not bring back what has gone"
-    ledger.resize(9)
-    assert (ledger.size, ledger.free) == (9, 6)
-    assert sorted(ledger.seize(6, Holder())) == [3, 4, 5, 6, 7, 8]
-
-
-def test_one_that_yielded_gets_its_circuit_back() -> None:
-    # Danger: claimed and given back, the circuit was free here while the far end had taken our set-up.
-    ledger = Ledger(2, 1, 3)  # the far end, of the higher number, controls the even circuit
-    mine, theirs = Holder(), Holder(seized_here=False)
-    assert ledger.seize(2, mine) == (1, 0)
-    assert ledger.claim([0], theirs) == (True, [mine])
-    ledger.release([0], theirs)
-    assert ledger.free == 0 and ledger.busy[0] is mine
-    ledger.release([1, 0], mine)
-    assert ledger.free == 2
-
-
-def test_a_circuit_whose_release_is_only_unanswered_goes_to_the_claim() -> None:
-    ledger = Ledger(2, 1, 3)
-    mine, theirs = Holder(), Holder(seized_here=False)
-    ledger.seize(1, mine)
-    assert ledger.claim([1], theirs) == (False, []), "we control it"
-    mine.releasing = True
-    assert ledger.claim([1], theirs)[0]
-    ledger.release([1], mine)
-    assert ledger.busy[1] is theirs and ledger.free == 1
+        group.release(holder.circuits, holder)
+    assert group.free == 3 and sorted(group.seize(3, Holder())) == [0, 1, 2]
+    group.unblock(range(6))
+    assert group.size == 3, "unblocking by the far end does not restore removed circuits"
+    group.resize(9)
+    assert (group.size, group.free) == (9, 6)
+    assert sorted(group.seize(6, Holder())) == [3, 4, 5, 6, 7, 8]
+
+
+def test_owner_gets_a_yielded_circuit_back_when_the_claimant_releases_it() -> None:
+    # Guards against a circuit that is free here, after the claimant has released it, while the far end has
+    # accepted the set-up of the earlier owner on it.
+    group = Ledger(2, 1, 3)  # the far end has the higher number and controls the even circuit
+    own_holder, far_holder = Holder(), Holder(seized_here=False)
+    assert group.seize(2, own_holder) == (1, 0)
+    assert group.claim([0], far_holder) == (True, [own_holder])
+    group.release([0], far_holder)
+    assert group.free == 0 and group.busy[0] is own_holder
+    group.release([1, 0], own_holder)
+    assert group.free == 2
+
+
+def test_claim_takes_a_circuit_whose_release_is_not_answered_yet() -> None:
+    group = Ledger(2, 1, 3)
+    own_holder, far_holder = Holder(), Holder(seized_here=False)
+    group.seize(1, own_holder)
+    assert group.claim([1], far_holder) == (False, []), "this end controls circuit 1"
+    own_holder.releasing = True
+    assert group.claim([1], far_holder)[0]
+    group.release([1], own_holder)
+    assert group.busy[1] is far_holder and group.free == 1
 
 
 @pytest.mark.parametrize("text", ["", "x", "3-1", "1,,2", "-1", "70000"])
-def test_ranges_that_are_none(text: str) -> None:
+def test_malformed_ranges_raise_value_error(text: str) -> None:
     with pytest.raises(ValueError):
         read_ranges(text)
 
 
 @given(st.sets(st.integers(0, 60), min_size=1))
-def test_ranges_written_and_read(circuits: set[int]) -> None:
+def test_written_ranges_are_read_back(circuits: set[int]) -> None:
     assert within(read_ranges(write_ranges(circuits)), 61) == circuits
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -1,4 +1,4 @@
-"""The hard crossings, one by one, without a socket."""
+"""The SIP engine without sockets: message crossings, lost connections, glare, stop and rejected requests."""
 
 from __future__ import annotations
 
@@ -13,36 +13,36 @@
 from eiderstep.sip.dialog import acknowledge
 from eiderstep.sip.message import Message, request
 from eiderstep.sip.parser import BadMessage
-from tests.sip_rig import CALLER, MS, SECOND, Rig, answer, bye, cancel_of, far_bye, none, one
+from tests.sip_rig import CALLER, MS, SECOND, Rig, answer, bye, cancel_of, far_bye, has_no, one
 
 
-def events_of(r: Rig) -> list[io.Event]:
-    """All that the module is told from here on."""
-    heard: list[io.Event] = []
-    handle = r.engine.controller.handle
+def record_events(rig: Rig) -> list[io.Event]:
+    """Record all events that the module gets from now on."""
+    recorded: list[io.Event] = []
+    handle = rig.engine.controller.handle
 
     def spy(now: int, events: list[io.Event]) -> list[io.Action]:
-        heard.extend(events)
+        recorded.extend(events)
         return handle(now, events)
 
-    r.engine.controller.handle = spy  # type: ignore[method-assign]
-    return heard
+    rig.engine.controller.handle = spy  # type: ignore[method-assign]
+    return recorded
 
 
 def test_a_call_from_set_up_to_release() -> None:
-    r = Rig()
-    heard = events_of(r)
-    mine, set_up, ok = r.stand()
-    assert set_up.get("session-id") == mine.get("session-id") and set_up.get("max-forwards") == "69"
-    assert "tgrp=0-1;trunk-context=t" in set_up.get("contact") and r.free() == 7
-    fresh = r.give(CALLER, bye(mine, ok))
-    out = one(fresh, "BYE")
-    assert r.free() == 7, "the circuit is the far end's until it has answered the release"
-    r.give(11, answer(out, 200))
-    assert r.free() == 8 and not r.engine.calls and not r.engine.dialogs and not r.engine.on_flow
-    kinds = [type(e) for e in heard]
+    rig = Rig()
+    recorded = record_events(rig)
+    invite, set_up, ok = rig.stand()
+    assert set_up.get("session-id") == invite.get("session-id") and set_up.get("max-forwards") == "69"
+    assert "tgrp=0-1;trunk-context=t" in set_up.get("contact") and rig.free() == 7
+    outgoing = rig.give(CALLER, bye(invite, ok))
+    release = one(outgoing, "BYE")
+    assert rig.free() == 7, "the circuit stays busy until the far end has answered the BYE"
+    rig.give(11, answer(release, 200))
+    assert rig.free() == 8 and not rig.engine.calls and not rig.engine.dialogs and not rig.engine.on_flow
+    kinds = [type(e) for e in recorded]
     assert kinds.count(io.CallStands) == 1 and kinds.count(io.AttemptEnded) == 1
-    ended = next(e for e in heard if isinstance(e, io.AttemptEnded))
+    ended = next(e for e in recorded if isinstance(e, io.AttemptEnded))
     assert ended.outcome is io.Outcome.RELEASED and ended.settled
 
 
@@ -62,294 +62,310 @@
 
 
 @pytest.mark.parametrize(("status", "reason", "wait", "outcome", "cause"), RESPONSES)
-def test_what_the_module_is_told_of_a_refusal(
+def test_refusal_is_reported_with_outcome_cause_and_wait(
     status: int, reason: str, wait: str, outcome: io.Outcome, cause: io.Cause
 ) -> None:
-    r = Rig()
-    heard = events_of(r)
-    _, set_up = r.call()
+    rig = Rig()
+    recorded = record_events(rig)
+    _, set_up = rig.call()
     refusal = answer(set_up, status)
     refusal.set("reason", reason or None)
     refusal.set("retry-after", wait or None)
     refusal.headers["via"] = [refusal.get("via") + ';oc=12;oc-algo="rate"']
     refusal.set("eiderstep-waiting", "5")
-    fresh = r.give(11, refusal)
-    assert one(fresh, "ACK").branch == set_up.branch
-    ended = next(e for e in heard if isinstance(e, io.AttemptEnded))
+    outgoing = rig.give(11, refusal)
+    assert one(outgoing, "ACK").branch == set_up.branch
+    ended = next(e for e in recorded if isinstance(e, io.AttemptEnded))
     assert (ended.outcome, ended.cause, ended.named_wait) == (outcome, cause, 2 * SECOND if wait else 0)
     assert ended.report == io.LoadReport(free=8, size=8, waiting=5.0, max_rate=12.0)
 
 
-def test_cancel_crosses_the_200() -> None:
-    r = Rig()
-    mine, set_up = r.call()
-    r.give(11, answer(set_up, 100))
-    fresh = r.give(CALLER, cancel_of(mine))
-    assert one(fresh, "CANCEL").branch == set_up.branch and one(fresh, 487).call_id == mine.call_id
-    fresh = r.give(11, answer(set_up, 200))  # sent before the CANCEL got there
-    assert one(fresh, "ACK") and one(fresh, "BYE")
-    r.give(11, answer(one(fresh, "BYE"), 200))
-    assert r.finals(mine) == [487] and r.free() == 8 and not r.engine.calls
-
-
-def test_a_200_after_the_attempt_was_given_up_is_acknowledged_and_released() -> None:
-    r = Rig()
-    mine, set_up = r.call(patience="1")
-    r.give(11, answer(set_up, 100))
-    fresh = r.run(2.0)
-    assert one(fresh, "CANCEL") and r.finals(mine) in ([504], [503]) and r.free() == 7
-    fresh = r.give(11, answer(set_up, 200))
-    release = one(fresh, "BYE")
-    assert one(fresh, "ACK") and release.to_tag
-    r.give(11, answer(release, 200))
-    assert r.free() == 8 and len(r.finals(mine)) == 1 and not r.engine.calls
-
-
-def test_a_200_of_a_set_up_that_is_forgotten_is_released_too() -> None:
-    r = Rig()
-    mine, set_up = r.call(patience="1")
-    r.give(11, answer(set_up, 100))
-    r.run(40.0)  # no final word in 64 x T1 after the CANCEL: the circuits come back
-    assert r.free() == 8 and not r.engine.calls and len(r.finals(mine)) == 1
-    fresh = r.give(11, answer(set_up, 200))
-    assert one(fresh, "ACK") and one(fresh, "BYE").to_tag
-
-
-def test_a_200_that_comes_again_is_acknowledged_and_the_call_stands_on() -> None:
-    r = Rig()
-    mine, set_up, _ = r.stand()
-    fresh = r.give(11, answer(set_up, 200))
-    assert [m.method for _, m in fresh] == ["ACK"] and r.finals(mine) == [200] and r.free() == 7
+def test_a_200_that_crosses_the_callers_cancel_is_released() -> None:
+    rig = Rig()
+    invite, set_up = rig.call()
+    rig.give(11, answer(set_up, 100))
+    outgoing = rig.give(CALLER, cancel_of(invite))
+    assert one(outgoing, "CANCEL").branch == set_up.branch and one(outgoing, 487).call_id == invite.call_id
+    outgoing = rig.give(11, answer(set_up, 200))  # sent before the CANCEL arrived
+    assert one(outgoing, "ACK") and one(outgoing, "BYE")
+    rig.give(11, answer(one(outgoing, "BYE"), 200))
+    assert rig.finals(invite) == [487] and rig.free() == 8 and not rig.engine.calls
+
+
+def test_a_200_after_the_attempt_timed_out_is_acknowledged_and_released() -> None:
+    rig = Rig()
+    invite, set_up = rig.call(patience="1")
+    rig.give(11, answer(set_up, 100))
+    outgoing = rig.run(2.0)
+    assert one(outgoing, "CANCEL") and rig.finals(invite) in ([504], [503]) and rig.free() == 7
+    outgoing = rig.give(11, answer(set_up, 200))
+    release = one(outgoing, "BYE")
+    assert one(outgoing, "ACK") and release.to_tag
+    rig.give(11, answer(release, 200))
+    assert rig.free() == 8 and len(rig.finals(invite)) == 1 and not rig.engine.calls
+
+
+def test_a_200_to_a_dropped_set_up_is_released() -> None:
+    rig = Rig()
+    invite, set_up = rig.call(patience="1")
+    rig.give(11, answer(set_up, 100))
+    rig.run(40.0)  # no final response within 64 x T1 after the CANCEL: the circuits are freed
+    assert rig.free() == 8 and not rig.engine.calls and len(rig.finals(invite)) == 1
+    outgoing = rig.give(11, answer(set_up, 200))
+    assert one(outgoing, "ACK") and one(outgoing, "BYE").to_tag
+
+
+def test_a_retransmitted_200_is_acknowledged_and_the_call_goes_on() -> None:
+    rig = Rig()
+    invite, set_up, _ = rig.stand()
+    outgoing = rig.give(11, answer(set_up, 200))
+    assert [m.method for _, m in outgoing] == ["ACK"] and rig.finals(invite) == [200] and rig.free() == 7
     forked = answer(set_up, 200)
     forked.headers["to"] = [set_up.get("to") + ";tag=another"]
-    assert [m.method for _, m in r.give(11, forked)] == ["ACK", "BYE"], "another far end answered too"
-    assert r.free() == 7 and len(r.engine.calls) == 1
+    assert [m.method for _, m in rig.give(11, forked)] == ["ACK", "BYE"], (
+        "a 200 of another far end (forked) is released"
+    )
+    assert rig.free() == 7 and len(rig.engine.calls) == 1
 
 
-def test_what_is_over_is_freed_without_the_collector() -> None:
-    r = Rig()
+def test_ended_calls_are_freed_without_the_garbage_collector() -> None:
+    rig = Rig()
     gc.collect()
     gc.disable()
     try:
         for end in ("release", "refuse", "cancel"):
-            mine, set_up = r.call()
+            invite, set_up = rig.call()
             if end == "refuse":
-                r.give(11, answer(set_up, 486))
-                r.give(CALLER, acknowledged(mine, r))
+                rig.give(11, answer(set_up, 486))
+                rig.give(CALLER, acknowledged(invite, rig))
             elif end == "cancel":
-                r.give(11, answer(set_up, 100))
-                r.give(CALLER, cancel_of(mine))
-                r.give(CALLER, acknowledged(mine, r))
-                r.give(11, answer(set_up, 487))
-                r.run(40.0)  # the timers that watched over the CANCEL
+                rig.give(11, answer(set_up, 100))
+                rig.give(CALLER, cancel_of(invite))
+                rig.give(CALLER, acknowledged(invite, rig))
+                rig.give(11, answer(set_up, 487))
+                rig.run(40.0)  # until the timers set with the CANCEL have run
             else:
-                ok = one(r.give(11, answer(set_up, 200)), 200)
-                r.give(CALLER, acknowledged(mine, r))
-                r.give(11, answer(one(r.give(CALLER, bye(mine, ok)), "BYE"), 200))
-            left = [o for o in gc.get_objects() if isinstance(o, Call | Attempt)]
-            assert not left, (end, left)
+                ok = one(rig.give(11, answer(set_up, 200)), 200)
+                rig.give(CALLER, acknowledged(invite, rig))
+                rig.give(11, answer(one(rig.give(CALLER, bye(invite, ok)), "BYE"), 200))
+            remaining = [o for o in gc.get_objects() if isinstance(o, Call | Attempt)]
+            assert not remaining, (end, remaining)
     finally:
         gc.enable()
 
 
-def acknowledged(invite: Message, r: Rig) -> Message:
-    """The ACK of the final answer that the caller got."""
-    final = next(m for _, m in reversed(r.sent) if m.status >= 200 and m.call_id == invite.call_id)
+def acknowledged(invite: Message, rig: Rig) -> Message:
+    """The ACK of the final response that the caller got."""
+    final = next(m for _, m in reversed(rig.sent) if m.status >= 200 and m.call_id == invite.call_id)
     success = final.status < 300
     via = "SIP/2.0/TCP c;branch=z9hG4bKack" + invite.call_id if success else invite.get("via")
     return acknowledge(invite, final, via)
 
 
-def test_bye_crosses_bye() -> None:
-    r = Rig()
-    heard = events_of(r)
-    mine, set_up, ok = r.stand()
-    ours = one(r.give(CALLER, bye(mine, ok)), "BYE")
-    fresh = r.give(11, far_bye(set_up))
-    assert [m.status for _, m in fresh] == [200] and r.free() == 8
-    r.give(11, answer(ours, 481))
-    assert sum(isinstance(e, io.AttemptEnded) for e in heard) == 1 and not r.engine.calls
-    assert [m.status for _, m in r.give(CALLER, bye(mine, ok, 3))] == [481]
-
-
-def test_bye_crosses_a_re_invite() -> None:
-    r = Rig()
-    mine, set_up, ok = r.stand()
-    again = r.invite()
-    again.headers |= {
-        "call-id": [mine.call_id],
-        "from": [mine.get("from")],
+def test_crossing_byes_end_the_call_once() -> None:
+    rig = Rig()
+    recorded = record_events(rig)
+    invite, set_up, ok = rig.stand()
+    own_bye = one(rig.give(CALLER, bye(invite, ok)), "BYE")
+    outgoing = rig.give(11, far_bye(set_up))
+    assert [m.status for _, m in outgoing] == [200] and rig.free() == 8
+    rig.give(11, answer(own_bye, 481))
+    assert sum(isinstance(e, io.AttemptEnded) for e in recorded) == 1 and not rig.engine.calls
+    assert [m.status for _, m in rig.give(CALLER, bye(invite, ok, 3))] == [481]
+
+
+def test_re_invite_that_crosses_a_bye_is_rejected() -> None:
+    rig = Rig()
+    invite, set_up, ok = rig.stand()
+    re_invite = rig.invite()
+    re_invite.headers |= {
+        "call-id": [invite.call_id],
+        "from": [invite.get("from")],
         "to": [ok.get("to")],
         "cseq": ["2 INVITE"],
     }
-    assert [m.status for _, m in r.give(CALLER, again)] == [488], (
-        "sessions are not changed; the call stands on"
+    assert [m.status for _, m in rig.give(CALLER, re_invite)] == [488], (
+        "a re-INVITE is rejected and the call goes on"
     )
-    fresh = r.give(11, far_bye(set_up))
-    assert one(fresh, "BYE").call_id == mine.call_id
-    late = r.invite()
-    late.headers |= {
-        "call-id": [mine.call_id],
-        "from": [mine.get("from")],
+    outgoing = rig.give(11, far_bye(set_up))
+    assert one(outgoing, "BYE").call_id == invite.call_id
+    late_invite = rig.invite()
+    late_invite.headers |= {
+        "call-id": [invite.call_id],
+        "from": [invite.get("from")],
         "to": [ok.get("to")],
         "cseq": ["3 INVITE"],
     }
-    assert [m.status for _, m in r.give(CALLER, late)][-1] in (481, 488)
+    assert [m.status for _, m in rig.give(CALLER, late_invite)][-1] in (481, 488)
 
 
-def test_the_far_end_cuts_and_the_module_knows_it_from_a_release() -> None:
+def test_bye_with_a_failure_cause_is_reported_as_cut() -> None:
     for reason, outcome in (("Q.850;cause=38", io.Outcome.CUT), ("Q.850;cause=16", io.Outcome.RELEASED)):
-        r = Rig()
-        heard = events_of(r)
-        _, set_up, _ = r.stand()
-        fresh = r.give(11, far_bye(set_up, reason))
-        assert one(fresh, "BYE").get("reason") == reason and r.free() == 8
-        assert [e.outcome for e in heard if isinstance(e, io.AttemptEnded)] == [outcome]
-
-
-def test_a_peer_that_dies_between_set_up_and_answer_is_a_reset() -> None:
-    r = Rig()
-    heard = events_of(r)
-    mine, _ = r.call()
-    r.engine.flow_lost(r.now, 11)
-    r.flush()
-    ended = next(e for e in heard if isinstance(e, io.AttemptEnded))
-    assert ended.outcome is io.Outcome.CUT and not ended.settled and r.free() == 8
-    assert any(isinstance(e, fx.Dial) and e.address == "10.0.0.1:1" for e in r.effects[-3:])
-    sent = [(r.now, m) for _, m in r.run(0.499) if m.method == "INVITE"]
-    assert not sent, "the release is awaited"
-    r.run(5.0)
-    assert len(r.finals(mine)) == 1
-
-
-def test_a_connection_lost_with_500_calls_standing() -> None:
+        rig = Rig()
+        recorded = record_events(rig)
+        _, set_up, _ = rig.stand()
+        outgoing = rig.give(11, far_bye(set_up, reason))
+        assert one(outgoing, "BYE").get("reason") == reason and rig.free() == 8
+        assert [e.outcome for e in recorded if isinstance(e, io.AttemptEnded)] == [outcome]
+
+
+def test_link_lost_before_the_answer_is_reported_as_cut() -> None:
+    rig = Rig()
+    recorded = record_events(rig)
+    invite, _ = rig.call()
+    rig.engine.flow_lost(rig.now, 11)
+    rig.flush()
+    ended = next(e for e in recorded if isinstance(e, io.AttemptEnded))
+    assert ended.outcome is io.Outcome.CUT and not ended.settled and rig.free() == 8
+    assert any(isinstance(e, fx.Dial) and e.address == "10.0.0.1:1" for e in rig.effects[-3:])
+    sent = [(rig.now, m) for _, m in rig.run(0.499) if m.method == "INVITE"]
+    assert not sent, "the next attempt waits for the release"
+    rig.run(5.0)
+    assert len(rig.finals(invite)) == 1
+
+
+def test_lost_connection_cuts_all_500_standing_calls() -> None:
     group = Peer(number=1, address="10.0.0.1:1", circuits=600)
-    r = Rig(peers=[group], dial_plan=[Route(prefix="1", exchange=1)], links=(1,))
-    heard = events_of(r)
-    mine = [r.stand()[0] for _ in range(500)]
-    assert r.free() == 100 and len(r.engine.on_flow[11]) == 500
-    r.engine.flow_lost(r.now, 11)
-    fresh = r.flush()
-    assert sorted(m.call_id for _, m in fresh if m.method == "BYE") == sorted(m.call_id for m in mine)
-    cut = [e for e in heard if isinstance(e, io.AttemptEnded) and e.outcome is io.Outcome.CUT]
-    assert len(cut) == 500 and r.free() == 600
-    r.give(CALLER, *[answer(m, 200) for _, m in fresh if m.method == "BYE"])
-    assert not r.engine.calls and not r.engine.dialogs and not r.engine.on_flow
-
-
-def test_the_same_invite_twice() -> None:
-    r = Rig()
-    mine, set_up = r.call()
-    assert none(r.give(CALLER, mine), "INVITE"), "the same branch: a resend, which the transaction takes"
-    copy = Message("INVITE", mine.uri, 0, "", {k: v[:] for k, v in mine.headers.items()})
-    copy.headers["via"] = ["SIP/2.0/TCP other;branch=z9hG4bKother"]
-    assert [m.status for _, m in r.give(CALLER, copy)] == [482], "another branch: merged (section 8.2.2.2)"
-    r.give(11, answer(set_up, 200))
-    assert r.finals(mine) == [482, 200]  # one for each transaction
-
-
-def test_a_caller_that_vanishes_while_its_call_is_held() -> None:
+    rig = Rig(peers=[group], dial_plan=[Route(prefix="1", exchange=1)], links=(1,))
+    recorded = record_events(rig)
+    invites = [rig.stand()[0] for _ in range(500)]
+    assert rig.free() == 100 and len(rig.engine.on_flow[11]) == 500
+    rig.engine.flow_lost(rig.now, 11)
+    outgoing = rig.flush()
+    assert sorted(m.call_id for _, m in outgoing if m.method == "BYE") == sorted(m.call_id for m in invites)
+    cut = [e for e in recorded if isinstance(e, io.AttemptEnded) and e.outcome is io.Outcome.CUT]
+    assert len(cut) == 500 and rig.free() == 600
+    rig.give(CALLER, *[answer(m, 200) for _, m in outgoing if m.method == "BYE"])
+    assert not rig.engine.calls and not rig.engine.dialogs and not rig.engine.on_flow
+
+
+def test_repeated_invite_is_absorbed_or_rejected_as_merged() -> None:
+    rig = Rig()
+    invite, set_up = rig.call()
+    assert has_no(rig.give(CALLER, invite), "INVITE"), (
+        "a retransmission with the same branch is absorbed by the transaction"
+    )
+    merged = Message("INVITE", invite.uri, 0, "", {k: v[:] for k, v in invite.headers.items()})
+    merged.headers["via"] = ["SIP/2.0/TCP other;branch=z9hG4bKother"]
+    assert [m.status for _, m in rig.give(CALLER, merged)] == [482], (
+        "another branch is a merged request (RFC 3261, 8.2.2.2)"
+    )
+    rig.give(11, answer(set_up, 200))
+    assert rig.finals(invite) == [482, 200]  # one for each transaction
+
+
+def test_lost_caller_connection_ends_a_waiting_call() -> None:
     quick = CallClass(name="plain", aim=3 * SECOND, give_up=9 * SECOND, mean_hold=SECOND)
-    r = Rig(classes=[quick])
-    heard = events_of(r)
+    rig = Rig(classes=[quick])
+    recorded = record_events(rig)
     for _ in range(4):
-        r.stand("1000")
-    # Every other circuit is lost, so a further call finds none and waits.
-    r.engine.ledgers[1].block(set(range(8)) - set(r.engine.ledgers[1].busy))
-    r.engine.ledgers[2].block(range(8))
-    r.engine.dirty |= {1, 2}
-    r.flush()
-    mine = r.invite()
-    fresh = r.give(3, mine)
-    assert none(fresh, "INVITE") and mine.get("session-id") in r.engine.calls
-    r.engine.flow_lost(r.now, 3)
-    r.flush()
-    assert isinstance(heard[-1], io.CallGone) and mine.get("session-id") not in r.engine.calls
-    assert none(r.run(5.0), "INVITE") and not r.finals(mine)
-
-
-def test_both_ends_seize_one_circuit() -> None:
-    r = Rig()
-    # Exchange 0 is the lower number, so exchange 1 controls the even circuits, exchange 0 the odd ones.
-    mine, set_up = r.call()
-    assert set_up.get("eiderstep-circuits") == "1", "own circuits first"
-    fresh = r.give(21, r.from_peer(1, "1"))
-    lost = one(fresh, 503)
-    assert "Q.850;cause=44" in lost.get("reason") and none(fresh, "INVITE"), "we control it: theirs yields"
+        rig.stand("1000")
+    # All circuits that are not busy are blocked, so a further call finds none and waits.
+    rig.engine.ledgers[1].block(set(range(8)) - set(rig.engine.ledgers[1].busy))
+    rig.engine.ledgers[2].block(range(8))
+    rig.engine.changed_groups |= {1, 2}
+    rig.flush()
+    invite = rig.invite()
+    outgoing = rig.give(3, invite)
+    assert has_no(outgoing, "INVITE") and invite.get("session-id") in rig.engine.calls
+    rig.engine.flow_lost(rig.now, 3)
+    rig.flush()
+    assert isinstance(recorded[-1], io.CallGone) and invite.get("session-id") not in rig.engine.calls
+    assert has_no(rig.run(5.0), "INVITE") and not rig.finals(invite)
+
+
+def test_glare_is_decided_for_the_controlling_exchange() -> None:
+    rig = Rig()
+    # Exchange 1, which has the higher number, controls the even circuits and exchange 0 the odd ones.
+    invite, set_up = rig.call()
+    assert set_up.get("eiderstep-circuits") == "1", "circuits controlled by this end are selected first"
+    outgoing = rig.give(21, rig.from_peer(1, "1"))
+    lost = one(outgoing, 503)
+    assert "Q.850;cause=44" in lost.get("reason") and has_no(outgoing, "INVITE"), (
+        "this end controls circuit 1, so the peer's call is refused"
+    )
     for _ in range(3):
-        r.stand()
-    last = r.call()[1]
-    assert last.get("eiderstep-circuits") == "6", "no own circuit left: from the top of theirs"
-    fresh = r.give(21, r.from_peer(1, "6"))
-    assert one(fresh, "INVITE").get("contact").find("0-2") > 0, "they control it: ours yields, theirs goes on"
-    heard = events_of(r)
-    r.give(11, answer(last, 503, reason="Q.850;cause=44"))
-    ended = next(e for e in heard if isinstance(e, io.AttemptEnded))
+        rig.stand()
+    last = rig.call()[1]
+    assert last.get("eiderstep-circuits") == "6", (
+        "with no own circuit left, the highest of the peer's is selected"
+    )
+    outgoing = rig.give(21, rig.from_peer(1, "6"))
+    assert one(outgoing, "INVITE").get("contact").find("0-2") > 0, (
+        "the peer controls circuit 6, so its call goes on"
+    )
+    recorded = record_events(rig)
+    rig.give(11, answer(last, 503, reason="Q.850;cause=44"))
+    ended = next(e for e in recorded if isinstance(e, io.AttemptEnded))
     assert ended.cause is io.Cause.NO_CIRCUIT
-    assert 6 in r.engine.ledgers[1].busy, "the circuit is the other call's, not free"
+    assert 6 in rig.engine.ledgers[1].busy, "the circuit stays busy with the peer's call"
 
 
-def test_a_register_that_names_what_is_gone_and_drains() -> None:
-    r = Rig()
-    _, set_up, _ = r.stand()
+def test_standing_calls_survive_when_their_office_drains_and_is_unlisted() -> None:
+    rig = Rig()
+    _, set_up, _ = rig.stand()
     entry = io.OfficeEntry("10.0.0.1:1", 1, io.OfficeState.DRAINING)
-    r.engine.news(r.now, io.ListKind.CHANGES, (entry,))
-    r.flush()
-    assert all(flow != 11 for flow, m in r.give(CALLER, r.invite()) if m.method == "INVITE")
-    assert r.engine.calls, "the standing call goes on"
-    gone = io.OfficeEntry("10.0.0.2:1", 2, io.OfficeState.UP)
-    r.engine.news(r.now, io.ListKind.COMPLETE, (gone,))
-    r.flush()
-    assert "10.0.0.1:1" not in r.engine.offices and r.free() == 7
-    assert one(r.give(11, far_bye(set_up)), "BYE")
-
-
-def test_a_time_out_at_the_very_deadline_gets_one_answer() -> None:
-    r = Rig()
-    mine, set_up = r.call(patience="2")
-    r.run(1.95)  # the margin of 50 ms before the caller's time is up
-    assert len(r.finals(mine)) == 1
-    r.give(11, answer(set_up, 200))
-    assert len(r.finals(mine)) == 1 and r.engine.calls, "its release is awaited"
-
-
-def test_a_stall_of_two_seconds_is_told_by_late_timers_and_answers_all() -> None:
-    r = Rig()
-    calls = [r.call(patience="1")[0] for _ in range(3)]
-    r.now += 2 * SECOND
-    r.engine.due(r.now)
-    r.flush()
-    assert all(len(r.finals(m)) == 1 for m in calls)
-    assert all(c.attempt.state is AttemptState.GIVEN_UP for c in r.engine.calls.values() if c.attempt)
-
-
-def test_without_a_provisional_answer_the_cancel_waits_and_nothing_is_sent_again_before_it() -> None:
-    r = Rig()
-    mine, set_up = r.call()
-    r.engine._cancel(r.now, io.Cancel(mine.get("session-id"), 0))
-    assert none(r.flush(), "CANCEL")
-    assert none(r.run(1.0), "INVITE"), "not cancelled on the wire, so it is still out"
-    assert one(r.give(11, answer(set_up, 100)), "CANCEL")
-    fresh = r.give(11, answer(set_up, 487))
-    assert none(fresh, "INVITE") and r.free() == 8
-    fresh = r.run(0.6)
-    assert one(fresh, "INVITE"), "called off and the release awaited: tried again"
-
-
-def test_a_200_that_crosses_the_modules_cancel_still_counts() -> None:
-    r = Rig()
-    mine, set_up = r.call()
-    r.give(11, answer(set_up, 100))
-    r.engine._cancel(r.now, io.Cancel(mine.get("session-id"), 0))
-    assert one(r.flush(), "CANCEL")
-    assert one(r.give(11, answer(set_up, 200)), 200).call_id == mine.call_id and r.finals(mine) == [200]
-    assert none(r.run(2.0), "INVITE")
-
-
-def test_lost_circuits_cut_their_calls_and_no_others() -> None:
-    r = Rig()
-    heard = events_of(r)
-    (one_call, first, _), _ = r.stand(), r.stand()
+    rig.engine.news(rig.now, io.ListKind.CHANGES, (entry,))
+    rig.flush()
+    assert all(flow != 11 for flow, m in rig.give(CALLER, rig.invite()) if m.method == "INVITE")
+    assert rig.engine.calls, "the standing call goes on"
+    other = io.OfficeEntry("10.0.0.2:1", 2, io.OfficeState.UP)
+    rig.engine.news(rig.now, io.ListKind.COMPLETE, (other,))
+    rig.flush()
+    assert "10.0.0.1:1" not in rig.engine.offices and rig.free() == 7
+    assert one(rig.give(11, far_bye(set_up)), "BYE")
+
+
+def test_timeout_at_the_deadline_gives_one_final_response() -> None:
+    rig = Rig()
+    invite, set_up = rig.call(patience="2")
+    rig.run(1.95)  # 50 ms, the answer margin, before the caller's give-up time
+    assert len(rig.finals(invite)) == 1
+    rig.give(11, answer(set_up, 200))
+    assert len(rig.finals(invite)) == 1 and rig.engine.calls, "the call waits for the response to its BYE"
+
+
+def test_calls_that_time_out_during_a_stall_get_one_final_response() -> None:
+    rig = Rig()
+    calls = [rig.call(patience="1")[0] for _ in range(3)]
+    rig.now += 2 * SECOND
+    rig.engine.due(rig.now)
+    rig.flush()
+    assert all(len(rig.finals(m)) == 1 for m in calls)
+    assert all(c.attempt.state is AttemptState.GIVEN_UP for c in rig.engine.calls.values() if c.attempt)
+
+
+def test_cancel_and_retry_wait_for_a_provisional_response() -> None:
+    rig = Rig()
+    invite, set_up = rig.call()
+    rig.engine._cancel(rig.now, io.Cancel(invite.get("session-id"), 0))
+    assert has_no(rig.flush(), "CANCEL")
+    assert has_no(rig.run(1.0), "INVITE"), "no CANCEL was sent, so the attempt is still pending"
+    assert one(rig.give(11, answer(set_up, 100)), "CANCEL")
+    outgoing = rig.give(11, answer(set_up, 487))
+    assert has_no(outgoing, "INVITE") and rig.free() == 8
+    outgoing = rig.run(0.6)
+    assert one(outgoing, "INVITE"), (
+        "retried after the cancelled attempt has ended and the release wait has passed"
+    )
+
+
+def test_a_200_that_crosses_the_modules_cancel_establishes_the_call() -> None:
+    rig = Rig()
+    invite, set_up = rig.call()
+    rig.give(11, answer(set_up, 100))
+    rig.engine._cancel(rig.now, io.Cancel(invite.get("session-id"), 0))
+    assert one(rig.flush(), "CANCEL")
+    assert one(rig.give(11, answer(set_up, 200)), 200).call_id == invite.call_id and rig.finals(invite) == [
+        200
+    ]
+    assert has_no(rig.run(2.0), "INVITE")
+
+
+def test_blocked_circuits_cut_only_the_calls_on_them() -> None:
+    rig = Rig()
+    recorded = record_events(rig)
+    (one_call, first, _), _ = rig.stand(), rig.stand()
     notify = request(
         "NOTIFY", "sip:x@10.0.0.9", via="SIP/2.0/TCP p;branch=z9hG4bKn1", sender="<sip:p@p>;tag=p",
         to="<sip:x@x>", call_id="n1", cseq=1,
@@ -357,46 +373,48 @@
     notify.set("contact", "<sip:trunk;tgrp=0-1;trunk-context=t@10.0.0.1>")
     notify.set("event", "eiderstep-circuits")
     notify.set("eiderstep-circuits", f"{first.get('eiderstep-circuits')},4-6")
-    fresh = r.give(21, notify)
-    gone = [m for _, m in fresh if m.method == "BYE"]
-    assert {m.call_id for m in gone} == {one_call.call_id, first.call_id}
-    ended = [e for e in heard if isinstance(e, io.AttemptEnded)]
+    outgoing = rig.give(21, notify)
+    released = [m for _, m in outgoing if m.method == "BYE"]
+    assert {m.call_id for m in released} == {one_call.call_id, first.call_id}
+    ended = [e for e in recorded if isinstance(e, io.AttemptEnded)]
     assert [e.outcome for e in ended] == [io.Outcome.CUT] and ended[0].report is not None
-    assert ended[0].report.size == r.engine.ledgers[1].size == 4
-
-
-def test_a_probe_is_an_options_and_its_answer_is_told() -> None:
-    r = Rig()
-    heard = events_of(r)
-    r.engine._probe(r.now, io.Probe("10.0.0.1:1"))
-    options = one(r.flush(), "OPTIONS")
-    r.now += 30 * MS
-    r.give(11, answer(options, 200, eiderstep_waiting="3"))
-    told = next(e for e in heard if isinstance(e, io.OfficeHeard))
-    assert told.answered and not told.unasked and told.took == 30 * MS and told.report.waiting == 3.0
-    r.engine._probe(r.now, io.Probe("10.0.0.7:1"))
-    r.flush()
-    assert isinstance(heard[-1], io.OfficeHeard) and not heard[-1].answered, "no link: no answer"
-
-
-def test_a_stop_answers_all_drains_and_ends() -> None:
-    r = Rig()
-    (mine, set_up, ok), (held, _) = r.stand(), r.call()
-    r.engine.stop(r.now)
-    r.flush()
-    late = r.invite()
-    refused = one(r.give(CALLER, late), 503)
-    assert refused.get("retry-after") and not any(isinstance(e, fx.Finished) for e in r.effects)
-    r.run(3.0)
-    assert len(r.finals(held)) == 1, "a call that was taken has its answer"
-    fresh = r.give(CALLER, bye(mine, ok))
-    r.give(11, answer(one(fresh, "BYE"), 200))
-    assert set_up and r.finals(mine) == [200]
-    fresh = r.run(40.0)
-    assert any(isinstance(e, fx.Finished) for e in r.effects)
-
-
-UNFIT = [
+    assert ended[0].report.size == rig.engine.ledgers[1].size == 4
+
+
+def test_probe_sends_options_and_reports_the_response() -> None:
+    rig = Rig()
+    recorded = record_events(rig)
+    rig.engine._probe(rig.now, io.Probe("10.0.0.1:1"))
+    options = one(rig.flush(), "OPTIONS")
+    rig.now += 30 * MS
+    rig.give(11, answer(options, 200, eiderstep_waiting="3"))
+    heard = next(e for e in recorded if isinstance(e, io.OfficeHeard))
+    assert heard.answered and not heard.unasked and heard.took == 30 * MS and heard.report.waiting == 3.0
+    rig.engine._probe(rig.now, io.Probe("10.0.0.7:1"))
+    rig.flush()
+    assert isinstance(recorded[-1], io.OfficeHeard) and not recorded[-1].answered, (
+        "without a link the probe is reported as unanswered"
+    )
+
+
+def test_stop_answers_offered_calls_drains_and_finishes() -> None:
+    rig = Rig()
+    (invite, set_up, ok), (held, _) = rig.stand(), rig.call()
+    rig.engine.stop(rig.now)
+    rig.flush()
+    late_invite = rig.invite()
+    refused = one(rig.give(CALLER, late_invite), 503)
+    assert refused.get("retry-after") and not any(isinstance(e, fx.Finished) for e in rig.effects)
+    rig.run(3.0)
+    assert len(rig.finals(held)) == 1, "an offered call gets its final response"
+    outgoing = rig.give(CALLER, bye(invite, ok))
+    rig.give(11, answer(one(outgoing, "BYE"), 200))
+    assert set_up and rig.finals(invite) == [200]
+    outgoing = rig.run(40.0)
+    assert any(isinstance(e, fx.Finished) for e in rig.effects)
+
+
+REJECTED_REQUESTS = [
     ({"number": "999"}, {}, 404), ({"number": "abc"}, {}, 404), ({"number": "0000"}, {}, 404),
     ({"cls": "unheard-of"}, {}, 400), ({}, {"require": "100rel"}, 420), ({}, {"max-forwards": "0"}, 483),
     ({}, {"contact": "<sip:t;tgrp=0-7;trunk-context=t@x>"}, 403),
@@ -408,53 +426,57 @@
 ]  # fmt: skip
 
 
-@pytest.mark.parametrize(("made", "headers", "status"), UNFIT)
-def test_requests_that_are_not_served_get_the_right_status(
-    made: dict[str, str], headers: dict[str, str], status: int
+@pytest.mark.parametrize(("invite_arguments", "headers", "status"), REJECTED_REQUESTS)
+def test_unacceptable_invites_get_the_right_status(
+    invite_arguments: dict[str, str], headers: dict[str, str], status: int
 ) -> None:
-    r = Rig()
-    other = r.call()[0]
-    bad = r.invite(**made)
+    rig = Rig()
+    other = rig.call()[0]
+    bad = rig.invite(**invite_arguments)
     for name, value in headers.items():
         bad.set(name, value)
-    fresh = r.give(21 if "tgrp=0-1" in headers.get("contact", "") else CALLER, bad)
-    assert [m.status for _, m in fresh if m.status >= 200] == [status] and none(fresh, "INVITE")
-    assert other.get("session-id") in r.engine.calls, "others go on"
+    outgoing = rig.give(21 if "tgrp=0-1" in headers.get("contact", "") else CALLER, bad)
+    assert [m.status for _, m in outgoing if m.status >= 200] == [status] and has_no(outgoing, "INVITE")
+    assert other.get("session-id") in rig.engine.calls, "other calls are not affected"
 
 
-def test_other_methods_and_malformed_ones() -> None:
-    r = Rig()
+def test_other_methods_and_malformed_messages() -> None:
+    rig = Rig()
     for method, status in (("REGISTER", 405), ("FLY", 501), ("BYE", 481), ("CANCEL", 481), ("OPTIONS", 200)):
-        message = r.invite()
+        message = rig.invite()
         message.method = method
         message.headers["cseq"] = [f"1 {method}"]
-        assert [m.status for _, m in r.give(CALLER, message)] == [status], method
-    bad = BadMessage(400, "no cseq", False, r.invite())
-    r.engine.message(r.now, CALLER, bad)
-    assert [m.status for _, m in r.flush()] == [400] and r.engine.counts["malformed"] == 1
-    r.engine.message(r.now, CALLER, BadMessage(400, "lost", True))
-    r.flush()
-    assert isinstance(r.effects[-1], fx.CloseFlow)
-
-
-def test_a_set_up_on_lost_circuits_that_is_refused_first_is_not_sent_again_at_once() -> None:
-    """Found on mass_cut, seed 103, three servers: sent again in the same moment, a CANCEL being out."""
-    r = Rig()
-    mine, set_up = r.call()
-    number = r.engine.ledgers[1]
-    for owner in number.block(range(8)):
-        r.engine._cut(r.now, owner, 38, lost=False)  # type: ignore[arg-type]
-    fresh = r.give(11, answer(set_up, 100), answer(set_up, 503, reason="Q.850;cause=44"))
-    assert one(fresh, "CANCEL") and none(fresh, "INVITE")
-    assert none(r.run(0.45), "INVITE")
-    assert one(r.run(0.2), "INVITE").call_id != set_up.call_id and r.finals(mine) == []
-
-
-def test_a_call_for_our_own_lines_that_has_no_time_left_is_answered_at_once() -> None:
-    """On the next tick of the timers it would be too late."""
-    r = Rig(lines="10.0.0.9:9")
-    r.engine.link_up(r.now, "10.0.0.9:9", 30)
-    mine = r.invite("0000", patience="0.05")
-    fresh = r.give(CALLER, mine)
-    assert r.finals(mine) == [480] and none(fresh, "INVITE") and not r.engine.calls
-    assert one(r.give(CALLER, r.invite("0000", patience="0.06")), "INVITE")
+        assert [m.status for _, m in rig.give(CALLER, message)] == [status], method
+    bad = BadMessage(400, "no cseq", False, rig.invite())
+    rig.engine.message(rig.now, CALLER, bad)
+    assert [m.status for _, m in rig.flush()] == [400] and rig.engine.counts["malformed"] == 1
+    rig.engine.message(rig.now, CALLER, BadMessage(400, "lost", True))
+    rig.flush()
+    assert isinstance(rig.effects[-1], fx.CloseFlow)
+
+
+def test_refusal_that_crosses_the_cancel_for_lost_circuits_is_retried_after_the_release_wait() -> None:
+    """A set-up is cancelled because its circuits are lost, and refused before the CANCEL arrives.
+
+    In the scenario mass_cut (seed 103, three servers) the next attempt was sent at once, with the CANCEL of
+    the first still in flight.
+    """
+    rig = Rig()
+    invite, set_up = rig.call()
+    group = rig.engine.ledgers[1]
+    for owner in group.block(range(8)):
+        rig.engine._cut_leg(rig.now, owner, 38, lost=False)  # type: ignore[arg-type]
+    outgoing = rig.give(11, answer(set_up, 100), answer(set_up, 503, reason="Q.850;cause=44"))
+    assert one(outgoing, "CANCEL") and has_no(outgoing, "INVITE")
+    assert has_no(rig.run(0.45), "INVITE")
+    assert one(rig.run(0.2), "INVITE").call_id != set_up.call_id and rig.finals(invite) == []
+
+
+def test_call_to_own_lines_without_time_left_is_rejected_at_once() -> None:
+    """Left to its timer, which runs at the next tick, the rejection would come too late."""
+    rig = Rig(lines="10.0.0.9:9")
+    rig.engine.link_up(rig.now, "10.0.0.9:9", 30)
+    invite = rig.invite("0000", patience="0.05")
+    outgoing = rig.give(CALLER, invite)
+    assert rig.finals(invite) == [480] and has_no(outgoing, "INVITE") and not rig.engine.calls
+    assert one(rig.give(CALLER, rig.invite("0000", patience="0.06")), "INVITE")
