--- a/eiderstep/engine/circuits.py
+++ b/eiderstep/engine/circuits.py
@@ -57,6 +57,7 @@
         return self.total - len(self.busy) - len(self.blocked) + self._busy_blocked
 
     def controls(self, circuit: int) -> bool:
+        """Whether this end keeps the circuit in a glare."""
         return circuit % 2 == self.parity
 
     def seize(self, width: int, owner: Owner) -> tuple[int, ...]:
--- a/eiderstep/engine/core.py
+++ b/eiderstep/engine/core.py
@@ -96,7 +96,7 @@
         self._respond_statelessly(flow, item, 503, wait)
 
     def link_up(self, now: int, address: str, flow: int) -> None:
-        """A connection that this end has opened to `address` is up."""
+        """Register an open connection that this end has made to `address`."""
         self.links[address] = flow
         if flow not in self.parties:
             self.meet(flow, self.at_link(address))
@@ -110,7 +110,7 @@
         return Party(frozenset([number] if number >= 0 else []), caller, address)
 
     def flow_lost(self, now: int, flow: int) -> None:
-        """A connection is lost: its open transactions fail and its standing calls are cut."""
+        """Handle the loss of a connection: its transactions fail and its standing calls are cut."""
         for address, link_flow in list(self.links.items()):
             if link_flow == flow:
                 del self.links[address]
@@ -371,7 +371,7 @@
         self._reject_call(now, call, answer)
 
     def _transaction_failed(self, now: int, tx: Transaction, broken: bool) -> None:
-        """A transaction timed out, or its connection was lost (`broken`)."""
+        """Handle a transaction that timed out, or whose connection was lost (`broken`)."""
         owner = tx.owner
         if isinstance(owner, PendingProbe):
             self._report_probe(now, owner, None)
@@ -423,7 +423,7 @@
         bye.set("reason", fields.reason(fields.NORMAL))
         self._send_request(now, flow, bye)
 
-    # -- the module's actions ------------------------------------------------------------------------------
+    # -- actions of the module -----------------------------------------------------------------------------
 
     def _send(self, now: int, action: io.Send) -> None:
         call = self.calls.get(action.call)
--- a/eiderstep/engine/requests.py
+++ b/eiderstep/engine/requests.py
@@ -50,8 +50,9 @@
         """Answer an unknown sender's request with a stateless 403 (RFC 3261, section 8.2.7); drop the rest.
 
         A transaction for each message would hold memory for 64 x T1, and a log line for each would fill the
-        disk.  Over UDP there is no response, because the source address may be forged and its owner would be
-        flooded.  Cost: a legitimate sender that the settings do not name gets no more than a 403.
+        disk (the server limits the rate of this one).  Over UDP there is no response, because the source
+        address may be forged and its owner would be flooded.  Cost: a legitimate sender that the settings do
+        not name gets no more than a 403.
         """
         self._count("strangers")
         if flow in self.unreliable:
@@ -127,13 +128,13 @@
         limits = self.settings.limits
         if self.stopping or len(self.calls) >= limits.calls:
             raise offers.RequestRejected(
-                503, "server is stopping" if self.stopping else "call table full", retry_after="1"
+                503, "the server is stopping" if self.stopping else "the call table is full", retry_after="1"
             )
         source = self.who(tx.flow).source
         if self.call_count_by_source.get(source, 0) >= limits.source.calls:
             self._count("calls over the limit of a source")
             raise offers.RequestRejected(
-                503, f"source has reached its limit of {limits.source.calls} calls", retry_after="1"
+                503, f"the source has reached its limit of {limits.source.calls} calls", retry_after="1"
             )
         offer = self.reader.read(message)
         self._check_permissions(tx.flow, message, offer)
--- a/eiderstep/engine/timers.py
+++ b/eiderstep/engine/timers.py
@@ -1,4 +1,4 @@
-"""Shared base of the call tables for SIP and for the platform's protocol: timers, and the decider's type.
+"""Shared base of the call tables for SIP and for the platform's protocol: timers and the decision interface.
 
 The timers have no clock of their own; the caller passes the time, in ns.
 """
@@ -30,6 +30,7 @@
         self.callback: Callable[[int], None] | None = callback
 
     def call_off(self) -> None:
+        """Cancel the timer; no effect if it has run."""
         self.callback = None
 
 
--- a/tests/sip_rig.py
+++ b/tests/sip_rig.py
@@ -66,6 +66,7 @@
         return outgoing
 
     def give(self, flow: int, *messages: Message) -> list[tuple[int, Message]]:
+        """Deliver messages on a flow; returns the messages sent in response."""
         for message in messages:
             self.engine.message(self.now, flow, Parser().feed(message.encode())[0])
         return self.flush()
@@ -119,6 +120,7 @@
         return invite, set_up, one(outgoing, 200)
 
     def free(self, peer: int = 1) -> int:
+        """Number of free circuits toward an exchange."""
         return self.engine.ledgers[peer].free
 
     def finals(self, invite: Message) -> list[int]:
@@ -175,4 +177,5 @@
 
 
 def has_no(outgoing: list[tuple[int, Message]], what: str | int) -> bool:
+    """Whether no message has that method or status."""
     return all(what not in (m.method, m.status) for _, m in outgoing)
