--- a/eiderstep/wirehost.py
+++ b/eiderstep/wirehost.py
@@ -1,6 +1,8 @@
-"""The adapter: JSON wire on standard input and output, one Controller for each instance.
+"""Adapter between the simulator and the decision module: JSON lines on standard input and output.
 
-It translates and decides nothing.  Instances share nothing but this process.
+Each line is an array that begins with the name of a message.  The input consists of batches, from BATCH with
+the time (ns) to END; each is answered by actions and an ACK.  Each server named by ENLIST has its own
+Controller; servers share only this process.  The adapter translates messages and decides nothing.
 """
 
 from __future__ import annotations
@@ -16,6 +18,7 @@
 
 Message = list[Any]
 
+# Codes of the simulator's messages.
 OUTCOMES = {
     0: io.Outcome.RELEASED,
     5: io.Outcome.FAULT,
@@ -40,16 +43,16 @@
     "Persisted": io.ListKind.REMEMBERED,
     "Error": io.ListKind.FAILED,
 }
-REDIALLED, IN_TRANSIT, WAS_CUT = 2, 8, 16
-BEYOND_FULL_NOTE = 18
+REDIALLED, IN_TRANSIT, WAS_CUT = 2, 8, 16  # bits of the marks of a SUBMIT
+BEYOND_FULL_NOTE = 18  # the note of an ENDED that stands for Cause.BEYOND_FULL
 
 
 class WireError(Exception):
-    """The input is not the wire that this adapter speaks."""
+    """The input violates the protocol between simulator and adapter."""
 
 
 def read_entry(row: Message) -> io.OfficeEntry:
-    """One line of an office list."""
+    """One row of an office list: name, zone, -, number, state, -, start time."""
     return io.OfficeEntry(
         office=row[0],
         zone=row[1] or 0,
@@ -59,67 +62,72 @@
     )
 
 
-def read_offer(v: Message) -> io.CallOffered:
-    """A call handed to us."""
-    marks = v[9] or 0
+def read_offer(values: Message) -> io.CallOffered:
+    """A SUBMIT: a call is offered."""
+    marks = values[9] or 0
     return io.CallOffered(
-        call=v[0],
-        class_no=v[1],
-        expires=v[4],
-        number=v[3] or "",
-        dest=v[6] if v[6] is not None else -1,
-        width=v[7] or 1,
-        hint=v[8] if v[8] is not None else -1,
+        call=values[0],
+        class_no=values[1],
+        expires=values[4],
+        number=values[3] or "",
+        dest=values[6] if values[6] is not None else -1,
+        width=values[7] or 1,
+        hint=values[8] if values[8] is not None else -1,
         transit=bool(marks & IN_TRANSIT),
         redialled=bool(marks & REDIALLED),
         was_cut=bool(marks & WAS_CUT),
     )
 
 
-def read_ended(v: Message) -> io.AttemptEnded:
-    """An attempt's end."""
-    note = v[1] or 0
-    beyond = note == BEYOND_FULL_NOTE
-    cause = io.Cause.BEYOND_FULL if beyond else CAUSES.get(note % 16, io.Cause.NONE)
+def read_ended(values: Message) -> io.AttemptEnded:
+    """An ENDED: an attempt is over.
+
+    The low four bits of the note are the cause, the rest is the wait (ms) named by a full processor.
+    """
+    note = values[1] or 0
+    beyond_full = note == BEYOND_FULL_NOTE
+    cause = io.Cause.BEYOND_FULL if beyond_full else CAUSES.get(note % 16, io.Cause.NONE)
     wait = note // 16 * 1_000_000 if cause is io.Cause.PROCESSOR_FULL else 0
     return io.AttemptEnded(
-        call=v[0],
-        leg=v[2] or 0,
-        office=v[5],
-        outcome=OUTCOMES[v[4]],
+        call=values[0],
+        leg=values[2] or 0,
+        office=values[5],
+        outcome=OUTCOMES[values[4]],
         cause=cause,
-        settled=bool(v[3]),
-        took=v[6] or 0,
+        settled=bool(values[3]),
+        took=values[6] or 0,
         named_wait=wait,
-        report=read_report(v[7]) if len(v) > 7 else None,
+        report=read_report(values[7]) if len(values) > 7 else None,
     )
 
 
-def read_heard(v: Message) -> io.OfficeHeard:
-    """News of an office: unasked news carries circuits only."""
-    return io.OfficeHeard(v[0], v[1] == 0 and not v[2], v[1] == 0, v[2] or 0, read_report(v[3]))
+def read_office_heard(values: Message) -> io.OfficeHeard:
+    """A PROBE_DONE: the end of a probe or, unasked, a changed number of free circuits."""
+    return io.OfficeHeard(
+        values[0], values[1] == 0 and not values[2], values[1] == 0, values[2] or 0, read_report(values[3])
+    )
 
 
-def read_peer(v: Message) -> io.PeerSays:
-    """A message of another controller."""
+def read_peer_message(values: Message) -> io.PeerSays:
+    """A NEIGHBOUR_SAYS: a message from another controller, in base 64."""
     import base64
 
-    return io.PeerSays(v[0], base64.b64decode(v[1] or ""))
+    return io.PeerSays(values[0], base64.b64decode(values[1] or ""))
 
 
 READERS: dict[str, Callable[[Message], io.Event]] = {
     "SUBMIT": read_offer,
-    "GONE": lambda v: io.CallGone(v[0]),
-    "NEIGHBOUR_SAYS": read_peer,
-    "PROBE_DONE": read_heard,
-    "ALARM": lambda v: io.TimerDue(v[0]),
-    "STREAMING": lambda v: io.CallStands(v[0], v[3] or 0, v[2], v[1] or 0),
+    "GONE": lambda values: io.CallGone(values[0]),
+    "NEIGHBOUR_SAYS": read_peer_message,
+    "PROBE_DONE": read_office_heard,
+    "ALARM": lambda values: io.TimerDue(values[0]),
+    "STREAMING": lambda values: io.CallStands(values[0], values[3] or 0, values[2], values[1] or 0),
     "ENDED": read_ended,
 }
 
 
 def write_action(server: str, action: io.Action) -> Message:
-    """One action as a wire message."""
+    """The message for one action of a server."""
     match action:
         case io.Send(call, office, until):
             return ["FORWARD", server, call, until, office]
@@ -140,108 +148,114 @@
 
 
 class Host:
-    """The instances of one process and the numbered lists that their list events refer to."""
+    """The controllers of one process, by server, and the numbered office lists that UPDATE refers to."""
 
     def __init__(self) -> None:
-        self.instances: dict[str, Controller] = {}
-        self.tables: dict[int, tuple[io.OfficeEntry, ...]] = {}
+        self.controllers: dict[str, Controller] = {}
+        self.office_lists: dict[int, tuple[io.OfficeEntry, ...]] = {}
+
+    def handle_batch(self, now: int, messages: Iterable[Message]) -> list[Message]:
+        """Pass each controller its events in their order and return the replies; start and stop controllers.
 
-    def batch(self, now: int, messages: Iterable[Message]) -> list[Message]:
-        """Hand each instance its events, in order, and collect the replies."""
-        out: list[Message] = []
+        A controller that raises an exception is dropped and reported by GIVE_IN.  Raises WireError for an
+        unknown message.
+        """
+        replies: list[Message] = []
         queued: dict[str, list[io.Event]] = {}
         for message in messages:
             name, values = message[0], message[1:]
             if name == "SNAPSHOT_ROWS":
-                self.tables[values[0]] = tuple(read_entry(row) for row in values[1])
+                self.office_lists[values[0]] = tuple(read_entry(row) for row in values[1])
                 continue
             server = values[0]
             if name == "ENLIST":
-                self._flush(now, server, queued, out)
+                self._flush(now, server, queued, replies)
                 try:
-                    self.instances[server] = Controller(read_settings(values[2] or {}), values[1] or 0)
-                except Exception as problem:
-                    self._give_in(server, problem, out)
+                    self.controllers[server] = Controller(read_settings(values[2] or {}), values[1] or 0)
+                except Exception as error:
+                    self._drop_controller(server, error, replies)
             elif name == "TEARDOWN":
-                self._flush(now, server, queued, out)
-                self.instances.pop(server, None)
+                self._flush(now, server, queued, replies)
+                self.controllers.pop(server, None)
             elif name == "UPDATE":
                 kind = KINDS[values[2]]
-                rows = () if kind is io.ListKind.FAILED else self.tables.get(values[3], ())
+                rows = () if kind is io.ListKind.FAILED else self.office_lists.get(values[3], ())
                 queued.setdefault(server, []).append(io.OfficeList(kind, rows))
             elif name in READERS:
                 queued.setdefault(server, []).append(READERS[name](values[1:]))
             else:
                 raise WireError(f"unknown message {name!r}")
         for server in list(queued):
-            self._flush(now, server, queued, out)
-        return out
+            self._flush(now, server, queued, replies)
+        return replies
 
-    def _flush(self, now: int, server: str, queued: dict[str, list[io.Event]], out: list[Message]) -> None:
+    def _flush(
+        self, now: int, server: str, queued: dict[str, list[io.Event]], replies: list[Message]
+    ) -> None:
         events = queued.pop(server, None)
-        controller = self.instances.get(server)
+        controller = self.controllers.get(server)
         if not events or controller is None:
             return
         try:
-            out.extend(write_action(server, action) for action in controller.handle(now, events))
-        except Exception as problem:
-            self._give_in(server, problem, out)
+            replies.extend(write_action(server, action) for action in controller.handle(now, events))
+        except Exception as error:
+            self._drop_controller(server, error, replies)
 
-    def _give_in(self, server: str, problem: Exception, out: list[Message]) -> None:
-        self.instances.pop(server, None)
-        out.append(["GIVE_IN", server, f"{type(problem).__name__}: {problem}"])
+    def _drop_controller(self, server: str, error: Exception, replies: list[Message]) -> None:
+        self.controllers.pop(server, None)
+        replies.append(["GIVE_IN", server, f"{type(error).__name__}: {error}"])
 
 
-def parse(line: str, number: int) -> Message:
-    """One line of the wire, or a plain word on what is wrong with it."""
+def parse_line(line: str, number: int) -> Message:
+    """The message on one line of the input.  Raises WireError with the line number."""
     try:
         message = json.loads(line)
-    except ValueError as problem:
-        raise WireError(f"line {number} is not JSON: {problem}") from None
+    except ValueError as error:
+        raise WireError(f"line {number} is not JSON: {error}") from None
     if not isinstance(message, list) or not message or not isinstance(message[0], str):
-        raise WireError(f"line {number} is not an array that begins with a name")
+        raise WireError(f"line {number} is not an array that begins with the name of a message")
     return message
 
 
-def serve(source: TextIO, sink: TextIO) -> None:
-    """Read batches until the input ends; write one reply for each."""
+def run_batches(source: TextIO, sink: TextIO) -> None:
+    """Read batches until the input ends and write the replies of each.  Raises WireError."""
     host = Host()
-    clock: int | None = None
+    now: int | None = None
     batch: list[Message] = []
     encode = json.JSONEncoder(separators=(",", ":"), ensure_ascii=False).encode
     for number, line in enumerate(source, 1):
         if not line.strip():
             continue
-        message = parse(line, number)
+        message = parse_line(line, number)
         try:
             if message[0] == "BATCH":
-                if clock is not None:
-                    raise WireError("BATCH before the last batch's END")
-                clock, batch = int(message[1]), []
-            elif clock is None:
-                raise WireError(f"{message[0]} outside a batch")
+                if now is not None:
+                    raise WireError("expected END before the next BATCH")
+                now, batch = int(message[1]), []
+            elif now is None:
+                raise WireError(f"expected BATCH; found {message[0]}")
             elif message[0] == "END":
-                replies = host.batch(clock, batch)
+                replies = host.handle_batch(now, batch)
                 sink.write("".join(encode(reply) + "\n" for reply in replies) + '["ACK"]\n')
                 sink.flush()
-                clock = None
+                now = None
             else:
                 batch.append(message)
-        except (WireError, LookupError, TypeError, ValueError, AttributeError) as problem:
-            text = str(problem) if isinstance(problem, WireError) else f"malformed message: {problem!r}"
+        except (WireError, LookupError, TypeError, ValueError, AttributeError) as error:
+            text = str(error) if isinstance(error, WireError) else f"malformed message: {error!r}"
             raise WireError(f"batch ending at line {number}: {text}") from None
-    if clock is not None:
-        raise WireError("input ended inside a batch")
+    if now is not None:
+        raise WireError("the input ended before the END of a batch")
 
 
 def main() -> int:
-    """Run the adapter; one plain line on standard error when the input is not the wire."""
+    """Run the adapter.  Returns 2, with one line on standard error, if the input violates the protocol."""
     source = open(sys.stdin.fileno(), encoding="utf-8", closefd=False)
     sink = open(sys.stdout.fileno(), "w", encoding="utf-8", newline="\n", closefd=False)
     try:
-        serve(source, sink)
-    except (WireError, UnicodeDecodeError) as problem:
-        print(f"wirehost: {problem}", file=sys.stderr)
+        run_batches(source, sink)
+    except (WireError, UnicodeDecodeError) as error:
+        print(f"wirehost: {error}", file=sys.stderr)
         return 2
     return 0
 
