--- a/eiderstep/decide.py
+++ b/eiderstep/decide.py
@@ -41,7 +41,7 @@
 QUARTILE_Z = 0.674  # of the normal distribution: a route counts as likely from a probability of 25% on
 
 # Trunk reservation.
-RESERVE_FLOOR = 0.5  # square roots of the group size, at most one widest class; in a partial mesh only
+RESERVE_FLOOR = 0.5  # square roots of the group size; least reserve in a partial mesh, else a widest call
 RESERVE_GROWTH_BLOCKS = 3.0  # recent direct blockings at which the reserve has grown by 63%
 BLOCK_HALF_LIFE = 0.3  # mean holding times
 
@@ -50,9 +50,9 @@
 SHED_FULL_WAIT = 0.6  # shortest aims; from this wait on all calls but a trial share are shed
 ALTERNATE_WAIT_FACTOR = 0.5  # of both waits above: an alternate route costs work at one more processor
 LOAD_TIME_CONSTANT = 5 / 6  # shortest aims; time in which evidence of a wait loses 63% of its weight
-SRTT_GAIN, RTTVAR_GAIN, RTO_VARIANCES = 1 / 8, 1 / 4, 4.0  # RFC 6298
+SRTT_GAIN, RTTVAR_GAIN, RTO_VARIATION_FACTOR = 1 / 8, 1 / 4, 4.0  # RFC 6298
 LOST_ANSWER_RTO_FACTOR = 2  # RFC 6298 timeouts; then an answer is lost if nothing waits at the processor
-OWN_WAIT_SAMPLES = 3  # offices without an answer, or answers, needed as evidence of the own processor's wait
+OWN_WAIT_SAMPLES = 3  # unanswered offices, or last answers, that are evidence of the own processor's wait
 PENDING_ALLOWANCE = 2  # unanswered set-ups to one office that are no evidence of a queue yet
 ANSWER_HALF_LIFE = 5  # time constants; for the usual rate of an office's answers
 STALL_THRESHOLD = 0.1  # shortest aims; a timer later than this shows that this process stalled
@@ -240,6 +240,7 @@
 
     def __init__(self, entry: io.OfficeEntry, time_constant: float) -> None:
         self.name, self.number, self.time_constant = entry.office, entry.number, time_constant
+        # `full_until`: end of the wait named by a full processor.
         self.state, self.started, self.full_until = entry.state, entry.started, 0
         # Response times (ns): smoothed, variation, shortest, excess of the last one over the shortest.
         # From reports: expected wait (ns), share of the load that the processor asks to be spared.
@@ -250,11 +251,12 @@
         self.report_time_constant = self.excess_time_constant = time_constant
         # Own set-ups since the last report; timeouts since the last answer; circuit breaker.
         self.sent_since_report, self.timeouts, self.breaker_open = 0, 0, False
+        # When the breaker admits a trial; when held calls are retried while cold; time between two turns.
         self.retry_at = self.cold_retry_at = self.cold_turn_period = 0
         self.backoff = 0.0
         self.trial_call: str | None = None  # the one call that may pass the open breaker
         self.answers = DecayingCount(ANSWER_HALF_LIFE * time_constant)
-        # Set-ups sent here again after a fault, and those of them that stood.
+        # Set-ups sent here again after a fault: those that stood, and all.
         self.resend_successes, self.resends = (
             DecayingCount(ANSWER_HALF_LIFE * time_constant),
             DecayingCount(ANSWER_HALF_LIFE * time_constant),
@@ -267,14 +269,18 @@
         self.timeouts, self.breaker_open, self.backoff, self.trial_call = 0, False, 0.0, None
         self.answered_at = now
 
-    def record_response_time(self, now: int, took: int) -> None:
+    def record_response_time(self, now: int, response_time: int) -> None:
         """Update the response time of set-ups (RFC 6298) and its excess over the shortest one."""
         if self.srtt == 0.0:
-            self.srtt, self.rttvar, self.min_rtt = float(took), took / 2, float(took)
-        self.rttvar += RTTVAR_GAIN * (abs(took - self.srtt) - self.rttvar)
-        self.srtt += SRTT_GAIN * (took - self.srtt)
-        self.min_rtt = min(self.min_rtt, took)
-        self.excess, self.excess_at = took - self.min_rtt, now
+            self.srtt, self.rttvar, self.min_rtt = (
+                float(response_time),
+                response_time / 2,
+                float(response_time),
+            )
+        self.rttvar += RTTVAR_GAIN * (abs(response_time - self.srtt) - self.rttvar)
+        self.srtt += SRTT_GAIN * (response_time - self.srtt)
+        self.min_rtt = min(self.min_rtt, response_time)
+        self.excess, self.excess_at = response_time - self.min_rtt, now
         self.excess_time_constant = self.answers.mean_interval(now, self.time_constant)
 
     def record_timeout(self, now: int, rng: Random) -> bool:
@@ -321,7 +327,7 @@
 
     def lost_answer_timeout(self) -> int:
         """Time (ns) after which an answer is lost if nothing waits at the processor."""
-        return int(LOST_ANSWER_RTO_FACTOR * (self.srtt + RTO_VARIANCES * self.rttvar))
+        return int(LOST_ANSWER_RTO_FACTOR * (self.srtt + RTO_VARIATION_FACTOR * self.rttvar))
 
     def expected_wait(self, now: int, count_pending: bool = True) -> float:
         """Expected wait at the processor (ns) from reports and own evidence; the fresher weighs more."""
@@ -366,9 +372,9 @@
         """The wait that all paths have in common (ns), taken for that of the own processor.
 
         It is the least wait of the last answers or, if longer, an age of set-ups that no answer has
-        overtaken: of the oldest ones to each office, the one that ranks OWN_WAIT_SAMPLES by age.  The
-        youngest would not do, since an office that was sent to just now has had no time to answer, and with
-        many offices there is always one.  Covers queues of incoming traffic, a cut of all links and a hung
+        overtaken: of the oldest set-ups to each office, the third oldest (OWN_WAIT_SAMPLES).  The youngest
+        would not do, since an office that was sent to just now has had no time to answer, and with many
+        offices there is always one.  Covers queues of incoming traffic, a cut of all links and a hung
         processor as well.  The cost: if the few offices of a small network are all overloaded, the own
         processor is held to be overloaded.
         """
@@ -476,6 +482,7 @@
         return self.actions
 
     def schedule(self, due: int, callback: Callable[[], object]) -> None:
+        """Set a timer that runs `callback` at `due` (ns)."""
         self.last_token += 1
         self.timers[self.last_token] = (due, callback)
         self.actions.append(io.SetTimer(due, self.last_token))
@@ -555,6 +562,7 @@
             self.finish_call(call, io.Abandon(call.name))
 
     def finish_call(self, call: Call | None, answer: io.Action | None) -> None:
+        """Forget the call; send its final answer unless none is owed."""
         if call is not None:
             self.unhold_call(call)
             self.actions += [answer] if answer is not None else []
@@ -642,7 +650,7 @@
         """
         office = self.offices.get(self.office_names.get(call.dest, ""))
         deadline = min(call.first_try_at + self.classes[call.class_no].aim, call.expires)
-        deadline -= int(office.srtt + RTO_VARIANCES * office.rttvar) if office is not None else 0
+        deadline -= int(office.srtt + RTO_VARIATION_FACTOR * office.rttvar) if office is not None else 0
         opens_in = self.time_until_open(call)
         if call.transit or self.now + opens_in >= deadline:
             return False
@@ -745,8 +753,9 @@
     def is_admitted(self, call: Call, number: int, explore: bool = True) -> bool:
         """Whether one own group has room for the call and the loss system admits it.
 
-        The price of a circuit rises as free circuits run out.  A class passes if its release rate exceeds the
-        rate at which its worth pays that price, and now and then for exploration.
+        The price of a circuit-second rises as free circuits run out.  A call is admitted if its class earns
+        more than the price, that is, if its release rate is above price * width / worth, and now and then for
+        exploration.  Explorations count only while no call of the class stands.
         """
         group, system = self.groups[number], self.groups[number].systems[call.class_no]
         if group.free is None:
@@ -929,7 +938,7 @@
         if office.breaker_open:
             office.trial_call = call.name
         # At least the shortest aim, because queues at processors last longer than delays in networks.
-        rto = int(max(office.srtt + RTO_VARIANCES * office.rttvar, self.shortest_aim))
+        rto = int(max(office.srtt + RTO_VARIATION_FACTOR * office.rttvar, self.shortest_aim))
         self.schedule(self.now + rto, lambda: self.on_timeout(call, leg, office))
         if settings.may_probe and office.srtt:
             self.schedule(
@@ -969,7 +978,9 @@
             self.add_note(
                 f"silent {office.number}", f"office {office.number} does not answer: no calls are sent to it"
             )
-            for other in [self.calls.get(n) for n, sent in office.pending.items() if sent <= call.sent_at]:
+            for other in [
+                self.calls.get(n) for n, sent_at in office.pending.items() if sent_at <= call.sent_at
+            ]:
                 self.give_up_set_up(other, office)
             for held in list(self.held_calls.get(office.number, ())):
                 self.retry_held_call(held)
@@ -1011,17 +1022,17 @@
         """Record the end of an attempt; a call without a final answer is tried again, held or refused."""
         office = self.offices.get(event.office)
         if office is not None:
-            sent = office.pending.pop(event.call, None)
+            sent_at = office.pending.pop(event.call, None)
             self.apply_report(office, event.report or io.LoadReport())
             if event.outcome not in OUTCOMES_WITHOUT_ANSWER:
                 office.record_answer(self.now)
-                if sent is not None and event.cause is not io.Cause.PROCESSOR_FULL:
-                    self.own_processor.record_answer(sent)
-            elif sent is not None:
+                if sent_at is not None and event.cause is not io.Cause.PROCESSOR_FULL:
+                    self.own_processor.record_answer(sent_at)
+            elif sent_at is not None:
                 # A set-up that was given up is no evidence of the own processor's wait any more.  Otherwise
                 # calls would still be shed after a restart of all offices.
                 self.own_processor.unanswered = deque(
-                    x for x in self.own_processor.unanswered if x != (sent, office.number)
+                    x for x in self.own_processor.unanswered if x != (sent_at, office.number)
                 )
             if event.outcome is io.Outcome.UNREACHABLE and office.record_timeout(self.now, self.rng):
                 self.add_note(f"unreachable {office.number}", f"office {office.number} cannot be reached")
--- a/eiderstep/interface.py
+++ b/eiderstep/interface.py
@@ -102,7 +102,7 @@
     size: int | None = None  # circuits of that group in service
     active: float | None = None  # set-ups in work at the processor
     waiting: float | None = None  # set-ups in the processor's queue
-    used: float | None = None  # share of the processor's time in use
+    cpu_used: float | None = None  # share of the processor's time in use
     wait: int | None = None  # mean wait of a set-up at the processor
     max_rate: float | None = None  # set-ups a second that the processor can take
     reduce: float | None = None  # share of the load that the office asks to be spared
--- a/eiderstep/reading.py
+++ b/eiderstep/reading.py
@@ -85,7 +85,7 @@
         size=integer("circuits"),
         active=number("active"),
         waiting=number("waiting"),
-        used=number("cpu"),
+        cpu_used=number("cpu"),
         wait=integer("avg_ms", 1_000_000),
         max_rate=number("max_rate"),
         reduce=number("reduce"),
