--- a/eiderstep/decide.py
+++ b/eiderstep/decide.py
@@ -419,7 +419,7 @@
             raise ValueError("expected at least one call class; found none")
         if any(c.width < 1 or c.worth < 0 or c.mean_hold <= 0 or c.aim <= 0 for c in settings.classes):
             raise ValueError(
-                "each call class needs a width of at least 1, a worth of at least 0, "
+                "each class needs a width of at least 1, a worth of at least 0, "
                 "an aim above 0 and a mean holding time above 0"
             )
         if not 0 < settings.cold_share <= 1:
