--- a/eiderstep/config/bounds.py
+++ b/eiderstep/config/bounds.py
@@ -1,6 +1,7 @@
-"""Running a settings script within bounds of work and memory; what is wrong becomes one line.
+"""Evaluates a settings script within limits on instructions, CPU time and memory.
 
-A script has no file and no network, but it has loops: one line of it can ask for a billion numbers.
+A script has no access to files or the network, but it can loop: a single line can build a list of a billion
+numbers.  Every error in a script is reported as one line.
 """
 
 from __future__ import annotations
@@ -13,100 +14,110 @@
 
 import starlark
 
-STEPS = 20_000  # of about 1000 instructions each: some seconds
-DEPTH = 200
-MEMORY = 256 << 20  # bytes beyond what the process has
-CPU = 5  # seconds, for what runs without instructions: built-ins over long ranges
-RISKY = re.compile(r"\bfor\b|\brange\b|[*%+]|\.join\b|\.format\b")
-GOOD, TOO_MUCH = 0, 3
+MAX_CANCEL_CHECKS = 20_000  # one per about 1000 instructions: some seconds in all
+MAX_CALL_DEPTH = 200
+EXTRA_MEMORY = 256 << 20  # bytes beyond what the process has
+CPU_LIMIT = 5  # seconds, for built-ins over long ranges: these run no instructions that could be counted
+COSTLY = re.compile(r"\bfor\b|\brange\b|[*%+]|\.join\b|\.format\b")
+WITHIN_LIMITS, OVER_LIMITS = 0, 3  # exit statuses of the child
 
 
 class ConfigError(ValueError):
-    """A script that cannot be served."""
+    """An error in a script: the file, the line, the path of the field (may be empty) and a description."""
 
     def __init__(self, file: str, line: int, field: str, text: str) -> None:
         self.file, self.line, self.field, self.text = file, line, field, text
         super().__init__(f"{file}:{line}: {field}: {text}" if field else f"{file}:{line}: {text}")
 
 
-class _TooLong(Exception):
-    """More steps than a script may take."""
+class _TooManyInstructions(Exception):
+    """The script ran more instructions than allowed."""
 
 
 def run_bounded(module: starlark.Module, text: str, file: str) -> None:
     """Evaluate the script into the module.  Raises ConfigError.
 
-    Danger: a script that runs away, by a slip of one nought, takes the memory of the whole host, and its
-    interpreter ends such a process with a traceback of its own language.  So one that has loops or products
-    is first run in a child that may take `MEMORY` and `CPU`; a child that dies is an error like any other.
-    Hurts by some milliseconds at a start or a SIGHUP, and on systems without fork: there steps alone count.
+    A runaway script (one zero too many in a range is enough) could use up the memory of the whole host, and
+    the interpreter then ends the process with a traceback of its own.  Therefore a script with loops,
+    products or string building is first run in a child process limited to `EXTRA_MEMORY` and `CPU_LIMIT`;
+    the death of the child is reported as a ConfigError.  This costs some milliseconds at each start and
+    SIGHUP.  On systems without fork only the number of instructions is limited.
     """
-    if RISKY.search(text) and hasattr(os, "fork"):
+    if COSTLY.search(text) and hasattr(os, "fork"):
         _try_in_child(module, text, file)
     try:
         _run(module, text, file)
     except starlark.StarlarkError as problem:
-        raise ConfigError(file, _line_of(str(problem), file), "", _first_words(str(problem))) from None
-    except _TooLong:
+        raise ConfigError(file, _line_of(str(problem), file), "", _error_line(str(problem))) from None
+    except _TooManyInstructions:
         raise ConfigError(
-            file, 1, "", f"found a script that does not end; allowed: {STEPS * 1000} steps"
+            file, 1, "", f"found a script that does not end; allowed: {MAX_CANCEL_CHECKS * 1000} instructions"
         ) from None
 
 
 def _run(module: starlark.Module, text: str, file: str) -> None:
-    left = STEPS
+    checks_left = MAX_CANCEL_CHECKS
 
-    def spent() -> bool:
-        nonlocal left
-        left -= 1
-        if left < 0:
-            raise _TooLong
+    def count_check() -> bool:
+        nonlocal checks_left
+        checks_left -= 1
+        if checks_left < 0:
+            raise _TooManyInstructions
         return False
 
-    options = starlark.EvalOptions(check_cancelled=spent, max_callstack_size=DEPTH)
+    options = starlark.EvalOptions(check_cancelled=count_check, max_callstack_size=MAX_CALL_DEPTH)
     starlark.eval_with(options, module, starlark.parse(file, text), starlark.Globals.standard())
 
 
 def _try_in_child(module: starlark.Module, text: str, file: str) -> None:
     child = os.fork()
     if child == 0:
-        _as_child(module, text, file)
+        _run_as_child(module, text, file)
     _, status = os.waitpid(child, 0)
-    if os.WIFSIGNALED(status) or os.WEXITSTATUS(status) == TOO_MUCH:
-        said = f"found a script that takes too much; allowed: {MEMORY >> 20} MB and {CPU} s"
-        raise ConfigError(file, 1, "", said)
+    if os.WIFSIGNALED(status) or os.WEXITSTATUS(status) == OVER_LIMITS:
+        description = (
+            "found a script that needs too much memory or CPU time; "
+            f"allowed: {EXTRA_MEMORY >> 20} MB and {CPU_LIMIT} s"
+        )
+        raise ConfigError(file, 1, "", description)
 
 
-def _as_child(module: starlark.Module, text: str, file: str) -> None:
-    """Only whether it stays within bounds counts here: what else is wrong the parent finds itself."""
-    code = GOOD
+def _run_as_child(module: starlark.Module, text: str, file: str) -> None:
+    """Run the script under resource limits and exit.
+
+    The exit status tells only whether the script stayed within the limits; the parent finds any other error
+    in its own run.
+    """
+    status = WITHIN_LIMITS
     try:
         for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
             signal.signal(number, signal.SIG_DFL)
-        quiet = os.open(os.devnull, os.O_WRONLY)
-        os.dup2(quiet, 1)
-        os.dup2(quiet, 2)
+        null = os.open(os.devnull, os.O_WRONLY)
+        os.dup2(null, 1)
+        os.dup2(null, 2)
         faulthandler.disable()
         resource.setrlimit(resource.RLIMIT_CORE, (0, 0))
-        resource.setrlimit(resource.RLIMIT_CPU, (CPU, CPU))
+        resource.setrlimit(resource.RLIMIT_CPU, (CPU_LIMIT, CPU_LIMIT))
         if os.path.exists("/proc/self/statm"):
-            with open("/proc/self/statm") as sizes:
-                have = int(sizes.read().split()[0]) * resource.getpagesize()
-            resource.setrlimit(resource.RLIMIT_AS, (have + MEMORY, have + MEMORY))
+            with open("/proc/self/statm") as statm:
+                current = int(statm.read().split()[0]) * resource.getpagesize()
+            resource.setrlimit(resource.RLIMIT_AS, (current + EXTRA_MEMORY, current + EXTRA_MEMORY))
         _run(module, text, file)
     except MemoryError:
-        code = TOO_MUCH
-    except BaseException as problem:  # a panic of the interpreter is no Exception
-        code = TOO_MUCH if "Panic" in type(problem).__name__ else GOOD
+        status = OVER_LIMITS
+    except BaseException as problem:  # a panic of the interpreter is not an Exception
+        status = OVER_LIMITS if "Panic" in type(problem).__name__ else WITHIN_LIMITS
     finally:
-        os._exit(code)
+        os._exit(status)
 
 
 def _line_of(problem: str, file: str) -> int:
-    places = re.findall(re.escape(file) + r":(\d+)", problem)
-    return int(places[-1]) if places else 1
+    """The innermost line of the script that an interpreter's error names; 1 if it names none."""
+    lines = re.findall(re.escape(file) + r":(\d+)", problem)
+    return int(lines[-1]) if lines else 1
 
 
-def _first_words(problem: str) -> str:
+def _error_line(problem: str) -> str:
+    """The line of an interpreter's error that says what is wrong, without the excerpt of the script."""
     lines = [x.strip() for x in problem.splitlines() if x.strip().startswith("error: ")]
     return lines[0].removeprefix("error: ") if lines else problem.strip().splitlines()[-1]
--- a/eiderstep/config/dump.py
+++ b/eiderstep/config/dump.py
@@ -1,4 +1,4 @@
-"""Settings back into a script, so that what a run used can be kept and run again."""
+"""Writes settings as a script, so that the settings of a run can be kept and loaded again."""
 
 from __future__ import annotations
 
@@ -8,6 +8,6 @@
 
 
 def dump(settings: ServerSettings) -> str:
-    """A Starlark script that `load_text` reads as the same settings."""
+    """A Starlark script that `load_text` turns back into equal settings."""
     fields = msgspec.to_builtins(settings)
     return "".join(f"{name} = {value!r}\n" for name, value in fields.items())
--- a/eiderstep/config/load.py
+++ b/eiderstep/config/load.py
@@ -1,4 +1,7 @@
-"""Evaluate a Starlark script and check what it defines.  Errors name file, line, field, found and allowed."""
+"""Evaluates a Starlark script and checks the values that it defines.
+
+Errors name the file, the line, the field, what was found and what is allowed.
+"""
 
 from __future__ import annotations
 
@@ -16,10 +19,10 @@
 
 __all__ = ["ConfigError", "convert", "evaluate", "load_day", "load_settings", "load_text", "locate", "read"]
 T = TypeVar("T")
-SIZE_LIMIT = 1 << 20  # bytes of a script
+SIZE_LIMIT = 1 << 20  # characters of a script
 
-# Functions that a script may call beside Starlark's own.  The builders return plain dicts, so that a script
-# can compute with them; what they hold is checked once, at the end.
+# Functions that a script may call in addition to the built-ins of Starlark.  They return plain dicts, so that
+# a script can compute with them; the contents are checked once, after the script has run.
 BUILDERS = (
     "call_class", "peer", "route", "cold", "rules", "register", "registry", "tls", "lease", "timers",
     "sizing", "trust", "caller", "source_limits", "sip_tls",
@@ -28,11 +31,15 @@
 
 
 def evaluate(
-    text: str, file: str, names: tuple[str, ...], more: Mapping[str, Callable[..., Any]] | None = None
+    text: str,
+    file: str,
+    allowed_names: tuple[str, ...],
+    extra_functions: Mapping[str, Callable[..., Any]] | None = None,
 ) -> dict[str, Any]:
-    """The top-level values of a script that bear one of the names.  `more`: functions of this kind alone.
+    """The top-level values of a script by name.  Raises ConfigError, also for a name that is not allowed.
 
-    There is no `load`, no file and no network within a script; its names that begin with `_` are its own.
+    `extra_functions` are available in this kind of script only.  A script has no `load` and no access to
+    files or the network; its names that begin with `_` are private and are left out.
     """
     if len(text) > SIZE_LIMIT:
         raise ConfigError(file, 1, "", f"found {len(text)} characters; allowed: up to {SIZE_LIMIT}")
@@ -40,63 +47,66 @@
     module.add_callable("ms", lambda count: round(count * MS))
     module.add_callable("s", lambda count: round(count * SECOND))
     for name in BUILDERS:
-        module.add_callable(name, _builder(name))
-    for name, function in (more or {}).items():
+        module.add_callable(name, _make_builder(name))
+    for name, function in (extra_functions or {}).items():
         module.add_callable(name, function)
     run_bounded(module, text, file)
-    found: dict[str, Any] = {}
-    for name, line in _assigned(text).items():
+    values: dict[str, Any] = {}
+    for name, line in _assignment_lines(text).items():
         if name.startswith("_"):
             continue
-        if name not in names:
-            allowed = f"{', '.join(names)}, or a name with _ first"
+        if name not in allowed_names:
+            allowed = f"{', '.join(allowed_names)}, or a name that begins with _"
             raise ConfigError(file, line, name, f"no such setting; allowed: {allowed}")
         try:
-            found[name] = module[name]
+            values[name] = module[name]
         except starlark.StarlarkError:
             raise ConfigError(file, line, name, "found a function; allowed: a value") from None
-    return found
+    return values
+
 
+def _make_builder(name: str) -> Callable[..., dict[str, Any]]:
+    """A function for scripts that returns its keyword arguments as a dict."""
 
-def _builder(name: str) -> Callable[..., dict[str, Any]]:
     def build(*args: Any, **fields: Any) -> dict[str, Any]:
         if args:
-            raise ValueError(f"{name}() takes named fields only")
+            raise ValueError(f"{name}() takes keyword arguments only")
         return fields
 
     return build
 
 
-def _tree(text: str) -> ast.Module | None:
-    """Starlark's grammar is Python's for all that a settings script needs to be located in."""
+def _parse_as_python(text: str) -> ast.Module | None:
+    """The syntax tree by Python's grammar, for line numbers; None if the script is valid in Starlark only."""
     try:
         return ast.parse(text)
     except SyntaxError:
         return None
 
 
-def _assigned(text: str) -> dict[str, int]:
-    tree = _tree(text)
-    found: dict[str, int] = {}
-    if tree is None:  # grammar of Starlark alone: fall back to lines
+def _assignment_lines(text: str) -> dict[str, int]:
+    """The names assigned at top level, with their line numbers."""
+    tree = _parse_as_python(text)
+    lines: dict[str, int] = {}
+    if tree is None:  # valid in Starlark only: search line by line
         for number, line in enumerate(text.splitlines(), 1):
             if match := re.match(r"([A-Za-z_]\w*)\s*=[^=]", line):
-                found.setdefault(match[1], number)
-        return found
+                lines.setdefault(match[1], number)
+        return lines
     for node in tree.body:
         targets = node.targets if isinstance(node, ast.Assign) else []
         for target in targets:
             if isinstance(target, ast.Name):
-                found[target.id] = node.lineno
-    return found
+                lines[target.id] = node.lineno
+    return lines
 
 
 def locate(text: str, path: str) -> int:
-    """The line of a field given by a path such as `$.classes[1].aim`; the nearest that can be told."""
+    """The line of the field at a path such as `$.classes[1].aim`, or of the closest enclosing value found."""
     steps = re.findall(r"\.([A-Za-z_]\w*)|\[(\d+)\]", path)
-    tree = _tree(text)
+    tree = _parse_as_python(text)
     if not steps or tree is None:
-        return _assigned(text).get(steps[0][0], 1) if steps else 1
+        return _assignment_lines(text).get(steps[0][0], 1) if steps else 1
     node: ast.expr | None = None
     line = 1
     for statement in tree.body:
@@ -121,6 +131,7 @@
 
 
 def _value_at(value: Any, path: str) -> Any:
+    """The value at a path, None if there is none."""
     for name, index in re.findall(r"\.([A-Za-z_]\w*)|\[(\d+)\]", path):
         try:
             value = value[name] if name else value[int(index)]
@@ -129,35 +140,35 @@
     return value
 
 
-def convert(found: dict[str, Any], kind: type[T], text: str, file: str) -> T:
-    """Values of a script as a struct.  Raises ConfigError."""
+def convert(values: dict[str, Any], struct_type: type[T], text: str, file: str) -> T:
+    """The values of a script as a struct.  Raises ConfigError."""
     try:
-        return msgspec.convert(found, kind)
+        return msgspec.convert(values, struct_type)
     except msgspec.ValidationError as problem:
-        said, _, path = str(problem).partition(" - at `")
+        description, _, path = str(problem).partition(" - at `")
         path = path.rstrip("`") or "$"
-        if "unknown field" in said or "missing required field" in said:
-            wanted = _allowed(kind, path)
-            said = said.replace("Object contains", "found").replace("Object missing", "missing")
-            name = said.rpartition("`")[0].rpartition("`")[2]
-            line = locate(text, f"{path}.{name}" if "unknown" in said else path)
+        if "unknown field" in description or "missing required field" in description:
+            allowed_fields = _allowed_fields(struct_type, path)
+            description = description.replace("Object contains", "found").replace("Object missing", "missing")
+            name = description.rpartition("`")[0].rpartition("`")[2]
+            line = locate(text, f"{path}.{name}" if "unknown" in description else path)
             raise ConfigError(
-                file, line, f"{path}.{name}"[2:], f"{said}; allowed: {', '.join(wanted)}"
+                file, line, f"{path}.{name}"[2:], f"{description}; allowed: {', '.join(allowed_fields)}"
             ) from None
-        value = _value_at(found, path)
+        value = _value_at(values, path)
         shown = repr(value) if len(repr(value)) < 60 else type(value).__name__
-        allowed = said.removeprefix("Expected ")
-        described = _described(kind, path)
+        allowed = description.removeprefix("Expected ")
+        field_description = _field_description(struct_type, path)
         raise ConfigError(
             file,
             locate(text, path),
             path[2:] or "settings",
-            f"found {shown}; allowed: {described or allowed}",
+            f"found {shown}; allowed: {field_description or allowed}",
         ) from None
 
 
 def _field_type(kind: Any, path: str) -> Any:
-    """The annotated type at a path, as far as structs and lists of structs go."""
+    """The annotated type at a path through structs and lists; None if the path leads anywhere else."""
     for name, index in re.findall(r"\.([A-Za-z_]\w*)|\[(\d+|\.\.\.)\]", path):
         info = msgspec.inspect.type_info(kind) if not isinstance(kind, msgspec.inspect.Type) else kind
         while isinstance(info, msgspec.inspect.Metadata):
@@ -175,14 +186,16 @@
     return kind if isinstance(kind, msgspec.inspect.Type) else msgspec.inspect.type_info(kind)
 
 
-def _allowed(kind: Any, path: str) -> list[str]:
+def _allowed_fields(kind: Any, path: str) -> list[str]:
+    """The field names of the struct at a path, none if it is not a struct."""
     info = _field_type(kind, path)
     while isinstance(info, msgspec.inspect.Metadata):
         info = info.type
     return [f.name for f in info.fields] if isinstance(info, msgspec.inspect.StructType) else []
 
 
-def _described(kind: Any, path: str) -> str:
+def _field_description(kind: Any, path: str) -> str:
+    """The description of the values allowed at a path; empty if the schema has none."""
     info = _field_type(kind, path)
     if isinstance(info, msgspec.inspect.Metadata) and info.extra_json_schema:
         return str(info.extra_json_schema.get("description", ""))
@@ -190,38 +203,41 @@
 
 
 def load_text(text: str, file: str = "settings.star") -> ServerSettings:
-    """Settings from a script's text."""
-    found = evaluate(text, file, ServerSettings.__struct_fields__)
-    settings = convert(found, ServerSettings, text, file)
-    wrong = cross_check(settings)
-    if wrong is not None:
-        raise ConfigError(file, locate(text, wrong[0]), wrong[0][2:], wrong[1])
+    """Settings from a script's text.  Raises ConfigError."""
+    values = evaluate(text, file, ServerSettings.__struct_fields__)
+    settings = convert(values, ServerSettings, text, file)
+    error = cross_check(settings)
+    if error is not None:
+        raise ConfigError(file, locate(text, error[0]), error[0][2:], error[1])
     return settings
 
 
 def load_settings(path: Path) -> ServerSettings:
-    """Settings from a file."""
+    """Settings from a script file; the PEM files that it names must exist.  Raises ConfigError."""
     text = read(path)
     settings = load_text(text, str(path))
-    registry = settings.registry.tls if settings.registry is not None else None
-    for part, tls in (("registry.tls", registry), ("trust.tls", settings.trust.tls)):
+    registry_tls = settings.registry.tls if settings.registry is not None else None
+    for section, tls in (("registry.tls", registry_tls), ("trust.tls", settings.trust.tls)):
         for name in ("ca", "cert", "key", "crl") if tls is not None else ():
             file = getattr(tls, name, "")
             if file and not Path(file).is_file():
-                field, found = f"{part}.{name}", f"found {file!r}, no file; allowed: a PEM file"
-                raise ConfigError(str(path), locate(text, f"$.{field}"), field, found)
+                field, description = (
+                    f"{section}.{name}",
+                    f"found {file!r}, which is not a file; allowed: a PEM file",
+                )
+                raise ConfigError(str(path), locate(text, f"$.{field}"), field, description)
     return settings
 
 
-def load_day(path: Path, kind: type[T]) -> T:
-    """A day script from a file, as the struct given."""
+def load_day(path: Path, struct_type: type[T]) -> T:
+    """A day script from a file as the given struct.  Raises ConfigError."""
     text = read(path)
-    fields: tuple[str, ...] = kind.__struct_fields__  # type: ignore[attr-defined]
-    return convert(evaluate(text, str(path), fields), kind, text, str(path))
+    fields: tuple[str, ...] = struct_type.__struct_fields__  # type: ignore[attr-defined]
+    return convert(evaluate(text, str(path), fields), struct_type, text, str(path))
 
 
 def read(path: Path) -> str:
-    """A script's text.  Raises ConfigError where it cannot be read."""
+    """A script's text.  Raises ConfigError if the file cannot be read as UTF-8."""
     try:
         return path.read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as problem:
--- a/eiderstep/config/schema.py
+++ b/eiderstep/config/schema.py
@@ -1,6 +1,7 @@
-"""The settings of a call server as checked structs.  Lengths of time are integer nanoseconds.
+"""The settings of a call server as checked structs.  Durations are integer nanoseconds.
 
-The defaults are those of the RFCs or plain safe sizes; what the module is told comes from here alone.
+The defaults are those of the RFCs or safe sizes.  These settings are the only source of those of the decision
+module (`interface.Settings`).
 """
 
 from __future__ import annotations
@@ -31,11 +32,11 @@
 
 
 class Strict(msgspec.Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
-    """A struct in which an unknown field is an error, not a silence."""
+    """Base of all settings structs: an unknown field is an error and is not ignored."""
 
 
 class CallClass(Strict, frozen=True, kw_only=True):
-    """One class of calls, as callers name it in the class header."""
+    """A call class; `name` is the value of the class header."""
 
     name: Name
     aim: Length
@@ -47,26 +48,26 @@
 
 
 class Peer(Strict, frozen=True, kw_only=True):
-    """An exchange that we share a trunk group with; 0 circuits: a pair without a group of its own."""
+    """A neighbouring exchange.  `circuits` is the size of the common trunk group, 0 if there is none."""
 
     number: Number
     address: Address
     circuits: Annotated[int, Meta(ge=0, le=65535, description="0 to 65535")]
     zone: Number = 0
-    hosts: list[Host] = []  # from which it connects, beside the host of its address (plain links)
-    identity: Domain = ""  # in its certificate; x<number>.<context> if empty
-    plain: bool = False  # its link is plain though we have keys
+    hosts: list[Host] = []  # source addresses beside the host of `address` (links without TLS)
+    identity: Domain = ""  # name in its certificate; x<number>.<context> if empty
+    plain: bool = False  # its link is without TLS although this server has TLS
 
 
 class Route(Strict, frozen=True, kw_only=True):
-    """Numbers that begin so belong to that exchange; the longest prefix holds."""
+    """Numbers with this prefix belong to that exchange; the longest matching prefix wins."""
 
     prefix: Prefix
     exchange: Number
 
 
 class Cold(Strict, frozen=True, kw_only=True):
-    """Rule 4: what a processor that has just started is held to take."""
+    """Rule 4: how much load a processor is assumed to take just after its start."""
 
     multiple: Annotated[float, Meta(gt=0, le=1000, description="above 0, at most 1000")] = 2.0
     window: MaybeLength = 2 * SECOND
@@ -75,9 +76,9 @@
 
 
 class Rules(Strict, frozen=True, kw_only=True):
-    """The figures of the five rules and what callers and exchanges allow."""
+    """The parameters of the five rules, and what callers and exchanges permit."""
 
-    answer_margin: MaybeLength = 50 * MS  # how long before the caller's time is up the last answer must go
+    answer_margin: MaybeLength = 50 * MS  # the last answer leaves this long before the caller gives up
     drain_grace: Length = 500 * MS
     release_wait: Length = 500 * MS
     attempts: Annotated[int, Meta(ge=1, le=64, description="1 to 64")] = 4
@@ -90,26 +91,26 @@
 
 
 class Register(Strict, frozen=True, kw_only=True):
-    """Where the list of exchanges comes from; `on_request`: the server must ask to be told."""
+    """The register, a source of the list of exchanges.  `on_request`: it sends the list only on request."""
 
     address: Address
     path: Annotated[str, Meta(pattern=r"^/[^\s]*$", description="a path from /")] = "/exchanges"
     on_request: bool = False
     retry: Length = 500 * MS
-    silence: Length = 10 * SECOND  # no line for so long: the connection is dead
+    silence: Length = 10 * SECOND  # idle timeout: without a line for so long, the connection is closed
 
 
 class Tls(Strict, frozen=True, kw_only=True):
-    """Whom we trust, and who we are; files in PEM."""
+    """Client side TLS to the registry; files in PEM.  `cert` and `key` are for mutual TLS."""
 
     ca: Annotated[str, Meta(min_length=1, description="a file of CA certificates")]
     cert: str = ""
     key: str = ""
-    name: str = ""  # the name in the far end's certificate; the dialled host if empty
+    name: str = ""  # expected name in the server's certificate; the dialled host if empty
 
 
 class Lease(Strict, frozen=True, kw_only=True):
-    """The own call server's entry in the registry."""
+    """The entry that this call server keeps up in the registry.  `renew` and `duration` are in seconds."""
 
     app: Name
     id: Name
@@ -128,12 +129,12 @@
     ask: Annotated[str, Meta(pattern="^(all|app|vip)$", description="all, app or vip")] = "all"
     vip: str = ""
     form: Annotated[str, Meta(pattern="^(json|xml)$", description="json or xml")] = "json"
-    follow: Annotated[int, Meta(ge=1, le=4, description="1 to 4")] = 2  # addresses asked, each by itself
+    follow: Annotated[int, Meta(ge=1, le=4, description="1 to 4")] = 2  # addresses polled independently
     poll: Length = 5 * SECOND
-    full_every: MaybeLength = 300 * SECOND  # the whole list so often, hash or no hash; 0: never for its age
+    full_every: MaybeLength = 300 * SECOND  # interval of full fetches even if the hash matches; 0: none
     dial: Length = SECOND
-    silence: Length = 2 * SECOND  # no byte of an answer for so long
-    whole: Length = 10 * SECOND  # an answer takes so long at most
+    silence: Length = 2 * SECOND  # idle timeout of a response
+    whole: Length = 10 * SECOND  # timeout of a whole response
     number_key: Name = "exchange"
     district_key: Name = "district"
     started_key: Name = "started"
@@ -147,80 +148,83 @@
 
 
 class Sizing(Strict, frozen=True, kw_only=True):
-    """Measuring the trunk groups; targets are the shares of first tries that may find no circuit."""
+    """Measuring the trunk groups.  A target is the share of first attempts that may find no circuit."""
 
     store: Annotated[str, Meta(min_length=1, description="a file for the measurements")]
     period: Length = 60 * SECOND
-    redial_window: Length = 60 * SECOND  # a try for a number refused no longer ago is a redial
+    redial_window: Length = 60 * SECOND  # a call to a number refused within this time is a redial
     target: Annotated[float, Meta(gt=0, lt=1, description="above 0, below 1")] = 0.01
     targets: dict[str, Annotated[float, Meta(gt=0, lt=1, description="above 0, below 1")]] = {}  # by class
-    module: Annotated[int, Meta(ge=1, le=1000, description="1 to 1000")] = 1  # circuits are had in so many
-    price: Worth = 1.0  # of a circuit
+    module: Annotated[int, Meta(ge=1, le=1000, description="1 to 1000")] = 1  # group size step, circuits
+    price: Worth = 1.0  # of one circuit
 
 
 class Caller(Strict, frozen=True, kw_only=True):
-    """Who may ask for calls: over plain links from these networks, or with a key that proves the identity."""
+    """A party that may set up calls: from these networks without TLS, or with a certificate of `identity`."""
 
     name: Name
     networks: list[Network] = []
     identity: Domain = ""
-    marks: bool = True  # whether its words `redialled` and `cut` count
-    advice: bool = False  # whether it may name the tandem of a call
-    classes: list[Name] = []  # those it may ask for; empty: all
+    marks: bool = True  # whether its marks `redialled` and `cut` are honoured
+    advice: bool = False  # whether it may propose the tandem of a call
+    classes: list[Name] = []  # classes that it may use; empty: all
 
 
-def own_callers() -> list[Caller]:
+def loopback_callers() -> list[Caller]:
     return [Caller(name="own", networks=["127.0.0.0/8", "::1/128"])]
 
 
 class SipTls(Strict, frozen=True, kw_only=True):
-    """TLS on the SIP links, both ends proven; files in PEM, read anew when they change and at SIGHUP."""
+    """Mutual TLS on the SIP links; files in PEM, loaded again when they change and at SIGHUP."""
 
-    listen: Address  # beside the plain `listen`
+    listen: Address  # in addition to `listen`, which is without TLS
     ca: Annotated[str, Meta(min_length=1, description="a file of CA certificates")]
     cert: Annotated[str, Meta(min_length=1, description="a file with our certificate")]
-    key: Annotated[str, Meta(min_length=1, description="a file with our key, for its owner alone")]
-    crl: str = ""  # the CA's revocation list
-    handshake: Length = 5 * SECOND  # one that takes longer is closed
-    slack: MaybeLength = 60 * SECOND  # how far clocks may differ
-    look: Length = 5 * SECOND  # how often files, times and revocations are looked at
+    key: Annotated[str, Meta(min_length=1, description="a file with our key, readable by its owner only")]
+    crl: str = ""  # revocation list of the CA
+    handshake: Length = 5 * SECOND  # timeout of a handshake
+    slack: MaybeLength = 60 * SECOND  # tolerated clock difference
+    look: Length = 5 * SECOND  # interval of checks of files, validity periods and revocations
 
 
 class Trust(Strict, frozen=True, kw_only=True):
-    """Who is believed, and what for."""
+    """Which callers and exchanges are accepted, and how they are identified."""
 
-    # The own machine's callers, and nobody else's until the settings let them in.
-    callers: list[Caller] = msgspec.field(default_factory=own_callers)
-    plain_exchanges: bool = True  # an exchange is who connects from its address; False: keys alone
+    # By default only callers on this host are accepted.
+    callers: list[Caller] = msgspec.field(default_factory=loopback_callers)
+    plain_exchanges: bool = True  # an exchange may be identified by its source address; False: only by TLS
     tls: SipTls | None = None
-    moves: bool = True  # the list of exchanges may name new addresses for them (plain links)
+    moves: bool = True  # the list of exchanges may change their addresses (links without TLS)
 
 
 class Timers(Strict, frozen=True, kw_only=True):
-    """The base times of RFC 3261 section 17.1.1.1, and the grain of all timers."""
+    """The base times of RFC 3261 section 17.1.1.1, and the granularity of all timers."""
 
     t1: Length = 500 * MS
     t2: Length = 4 * SECOND
     t4: Length = 5 * SECOND
-    tick: Length = 5 * MS  # timers fall due on multiples of it, never early: one batch for many
+    tick: Length = 5 * MS  # due times are rounded up to multiples of it, so that timers run in batches
 
 
 class SourceLimits(Strict, frozen=True, kw_only=True):
-    """What one source may cost: an address on a plain link, a proven name over TLS."""
+    """Limits per source: an address on a link without TLS, the authenticated name on one with TLS.
+
+    `reserved` is the share of all connections (`Limits.connections`) that only exchanges may use.
+    """
 
     connections: Count = 1000
-    silent: Count = 200  # that have not said a whole message yet
-    messages: Count = 4000  # a second, twice of them in a burst; a stranger a sixteenth of it
-    faults: Count = 50  # messages that cannot be read, before its idle connections are closed
-    calls: Count = 20_000  # at once, asked for or standing
-    reserved: Annotated[float, Meta(ge=0, lt=1, description="0 to below 1")] = 0.25  # connections: exchanges'
+    silent: Count = 200  # connections that have not sent a complete message yet
+    messages: Count = 4000  # per second, burst of twice as many; an unknown source gets a sixteenth
+    faults: Count = 50  # malformed messages before its idle connections are closed
+    calls: Count = 20_000  # at the same time, in set-up or standing
+    reserved: Annotated[float, Meta(ge=0, lt=1, description="0 to below 1")] = 0.25
 
 
 class Limits(Strict, frozen=True, kw_only=True):
-    """What one peer may cost us."""
+    """Limits on messages, connections and calls; sizes in bytes."""
 
     connections: Count = 20_000
-    first_message: Length = 30 * SECOND  # an inbound connection without a whole message for so long is closed
+    first_message: Length = 30 * SECOND  # an inbound connection without a complete message by then is closed
     line: Annotated[int, Meta(ge=256, le=65536, description="256 to 65536")] = 4096
     head: Annotated[int, Meta(ge=1024, le=262144, description="1024 to 262144")] = 16384
     headers: Annotated[int, Meta(ge=16, le=1024, description="16 to 1024")] = 96
@@ -230,11 +234,11 @@
     dial: Length = 500 * MS
     redial: Length = 200 * MS
     source: SourceLimits = SourceLimits()
-    drain: MaybeLength = 30 * SECOND  # how long a stop waits for standing calls
+    drain: MaybeLength = 30 * SECOND  # how long a stopping server waits for standing calls
 
 
 class ServerSettings(Strict, frozen=True, kw_only=True):
-    """All that one call server is told."""
+    """All settings of one call server."""
 
     number: Number
     listen: Address
@@ -243,9 +247,9 @@
     peers: list[Peer]
     dial_plan: Annotated[list[Route], Meta(min_length=1, description="one route at least")]
     name: Name = "eiderstep"
-    udp: bool = False  # serve UDP beside TCP, on the same port
-    udp_peers: bool = False  # reach the peers over UDP; nothing then tells that one is gone but silence
-    lines: Address | None = None  # the exchange's own subscribers; None: calls to our own number are 404
+    udp: bool = False  # serve UDP in addition to TCP, on the same port
+    udp_peers: bool = False  # reach the peers over UDP; the loss of one then shows only by missing answers
+    lines: Address | None = None  # the subscribers of this exchange; None: calls to its own number get a 404
     class_header: Name = "Eiderstep-Class"
     default_class: str = ""
     controllers: Count = 1
@@ -254,9 +258,9 @@
     register: Register | None = None
     registry: Registry | None = None
     list_from: Annotated[str, Meta(pattern="^(register|registry)$", description="register or registry")] = (
-        "register"  # where both are given: the main one; the other is its fallback
+        "register"  # the main source if both are given; the other is the fallback
     )
-    fallback_after: Length = 5 * SECOND  # how long the main one may fail before the other is believed
+    fallback_after: Length = 5 * SECOND  # how long the main source may fail before the fallback is used
     sizing: Sizing | None = None
     trust: Trust = Trust()
     timers: Timers = Timers()
@@ -264,11 +268,11 @@
     seed: Annotated[int, Meta(ge=0, le=2**62, description="0 to 2**62")] = 0
 
     def named(self) -> tuple[io.OfficeEntry, ...]:
-        """The exchanges that the settings name, in force until a list tells more."""
+        """The exchanges given in the settings, used until the first list arrives."""
         return tuple(io.OfficeEntry(p.address, p.number, io.OfficeState.UP, 0, p.zone) for p in self.peers)
 
     def module(self) -> io.Settings:
-        """The same in the module's terms."""
+        """The settings of the decision module."""
         rules = self.rules
         return io.Settings(
             classes=tuple(
@@ -297,7 +301,7 @@
 
 
 def cross_check(settings: ServerSettings) -> tuple[str, str] | None:
-    """What no single field shows: the path of the field at fault and what is wrong with it."""
+    """Check fields against each other.  Returns path and error of the first invalid field, else None."""
     seen: dict[int, int] = {}
     for i, peer in enumerate(settings.peers):
         if peer.number == settings.number:
@@ -341,16 +345,16 @@
             return "$.registry.vip", "found ''; allowed: the vip address to ask for, as ask is 'vip'"
         if registry.silence > registry.whole:
             found = f"found {registry.silence} ns"
-            return "$.registry.silence", f"{found}; allowed: up to whole, {registry.whole}"
+            return "$.registry.silence", f"{found}; allowed: up to whole, {registry.whole} ns"
         if registry.tls is not None and bool(registry.tls.cert) != bool(registry.tls.key):
             return "$.registry.tls", "found one of cert and key; allowed: both or neither"
         if registry.lease is not None and registry.lease.duration <= registry.lease.renew:
-            found = f"found {registry.lease.duration}"
-            return "$.registry.lease.duration", f"{found}; allowed: above renew, {registry.lease.renew}"
-    shortest = min(c.give_up for c in settings.classes)
-    if settings.rules.answer_margin >= shortest:
+            found = f"found {registry.lease.duration} s"
+            return "$.registry.lease.duration", f"{found}; allowed: above renew, {registry.lease.renew} s"
+    shortest_give_up = min(c.give_up for c in settings.classes)
+    if settings.rules.answer_margin >= shortest_give_up:
         return (
             "$.rules.answer_margin",
-            f"found {settings.rules.answer_margin} ns; allowed: under {shortest} ns",
+            f"found {settings.rules.answer_margin} ns; allowed: below each give_up, {shortest_give_up} ns",
         )
     return None
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""Settings: what is wrong is named with file, line, field, what was found and what is allowed."""
+"""Settings scripts: values, round trip through `dump`, error messages, and limits on runaway scripts."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from eiderstep.config.dump import dump
 from eiderstep.lab import script
 
-GOOD = """number = 0
+VALID = """number = 0
 listen = "127.0.0.1:0"
 context = "midlands"
 classes = [
@@ -26,15 +26,15 @@
 """
 
 
-def test_good_settings_and_back() -> None:
-    settings = load_text(GOOD)
+def test_valid_settings_load_and_survive_a_dump() -> None:
+    settings = load_text(VALID)
     module = settings.module()
     assert module.classes[1].width == 3 and module.classes[0].aim == 1_200_000_000
     assert module.cold_time == 14_000_000_000 and settings.peers[1].address == "127.0.0.1:5063"
     assert load_text(dump(settings)) == settings
 
 
-BAD = [
+INVALID = [
     ("width = 3", "width = 300", 6, "classes[1].width", "found 300; allowed: 1 to 64"),
     ("width = 3", "widht = 3", 6, "classes[1].widht", "allowed: name, aim"),
     ("number = 0", "number = -1", 1, "number", "found -1; allowed: 0 to 65535"),
@@ -65,21 +65,21 @@
 ]
 
 
-@pytest.mark.parametrize(("old", "new", "line", "field", "said"), BAD)
+@pytest.mark.parametrize(("old", "new", "line", "field", "text"), INVALID)
 def test_errors_name_file_line_field_found_and_allowed(
-    old: str, new: str, line: int, field: str, said: str
+    old: str, new: str, line: int, field: str, text: str
 ) -> None:
-    assert old in GOOD
+    assert old in VALID
     with pytest.raises(ConfigError) as caught:
-        load_text(GOOD.replace(old, new), "site.star")
+        load_text(VALID.replace(old, new), "site.star")
     problem = caught.value
     assert (problem.file, problem.line, problem.field) == ("site.star", line, field), str(problem)
-    assert said in problem.text and str(problem).startswith(f"site.star:{line}: ")
+    assert text in problem.text and str(problem).startswith(f"site.star:{line}: ")
 
 
-def test_day_scripts_are_checked_too(tmp_path: Path) -> None:
+def test_errors_in_day_scripts_are_reported(tmp_path: Path) -> None:
     day = (Path(__file__).parent.parent / "days" / "hang.star").read_text()
-    for old, new, said in (
+    for old, new, text in (
         ("exchanges = [2]", "exchanges = [9]", "found 9; allowed: 1 to 5"),
         ('kind = "hang"', 'kind = "hung"', "allowed: burst, flood"),
         ("shares = [0.71, 0.09, 0.20]", "shares = [1.0]", "found 1; allowed: one for each of 3"),
@@ -90,24 +90,24 @@
         path.write_text(day.replace(old, new))
         with pytest.raises(ConfigError, match="day.star:") as caught:
             script.load(path)
-        assert said in caught.value.text
+        assert text in caught.value.text
 
 
 RUNAWAY = {
-    "a list of a billion": "name = [i for i in range(1000000000)]",
+    "a list of a billion numbers": "name = [i for i in range(1000000000)]",
     "a list doubled": "def f():\n  x = [1]\n  for i in range(60):\n    x = x + x\n  return x\nname = f()",
-    "a text doubled, line by line": "_a = 'x' * 1000\n" + "_a = _a + _a\n" * 40 + "name = _a",
-    "a text of gigabytes": "name = 'x' * 2000000000",
-    "a loop of a billion": "def f():\n  for i in range(1 << 30):\n    n = i\n  return n\nname = f()",
-    "a call of itself": "def f(n):\n  return f(n + 1)\nname = f(0)",
+    "a string doubled at each line": "_a = 'x' * 1000\n" + "_a = _a + _a\n" * 40 + "name = _a",
+    "a string of gigabytes": "name = 'x' * 2000000000",
+    "a loop of a billion rounds": "def f():\n  for i in range(1 << 30):\n    n = i\n  return n\nname = f()",
+    "endless recursion": "def f(n):\n  return f(n + 1)\nname = f(0)",
 }  # fmt: skip
 
 
 @pytest.mark.parametrize("name", RUNAWAY)
-def test_a_script_that_runs_away_is_one_line(name: str) -> None:
-    """The first took gigabytes and ended in the interpreter's own traceback."""
+def test_runaway_script_gives_a_one_line_error(name: str) -> None:
+    """Without limits the first script takes gigabytes and kills the process with a traceback of its own."""
     with pytest.raises(ConfigError) as caught:
         load_text(RUNAWAY[name], "s.star")
-    said = str(caught.value)
-    assert said.startswith("s.star:") and "\n" not in said and ("allowed" in said or "overflow" in said)
-    assert load_text(GOOD).number == 0, "and the process goes on"
+    error = str(caught.value)
+    assert error.startswith("s.star:") and "\n" not in error and ("allowed" in error or "overflow" in error)
+    assert load_text(VALID).number == 0, "after a runaway script the process can still load valid settings"
