--- a/eiderstep/sip/dialog.py
+++ b/eiderstep/sip/dialog.py
@@ -1,14 +1,14 @@
-"""Dialogs (RFC 3261 section 12): what both ends of a standing call keep so that either can end it."""
+"""SIP dialogs (RFC 3261 section 12), and the ACK and CANCEL that belong to an INVITE."""
 
 from __future__ import annotations
 
 from eiderstep.sip.message import Message, in_angle, request
 
-Id = tuple[str, str, str]  # Call-ID, local tag, remote tag
+DialogId = tuple[str, str, str]  # Call-ID, local tag, remote tag
 
 
 class Dialog:
-    """One leg.  `local` and `remote` are whole From and To values with their tags."""
+    """One dialog.  `local` and `remote` are complete values of From and To headers with their tags."""
 
     __slots__ = ("call_id", "cseq", "flow", "local", "remote", "remote_cseq", "target")
 
@@ -27,13 +27,13 @@
 
     @classmethod
     def of_server(cls, invite: Message, answer: Message, flow: int) -> Dialog:
-        """The dialog of a call that came in, by the response that made it (section 12.1.1)."""
+        """The UAS side: the dialog of an INVITE received, created by our response (section 12.1.1)."""
         target = in_angle(invite.get("contact")) or in_angle(invite.get("from"))
         return cls(invite.call_id, answer.get("to"), invite.get("from"), target, flow, 0, invite.cseq)
 
     @classmethod
     def of_client(cls, invite: Message, answer: Message, flow: int) -> Dialog:
-        """The dialog of a call that we sent out, by the 2xx received (section 12.1.2)."""
+        """The UAC side: the dialog of an INVITE sent and the 2xx received (section 12.1.2)."""
         target = in_angle(answer.get("contact")) or invite.uri
         return cls(invite.call_id, invite.get("from"), answer.get("to"), target, flow, invite.cseq)
 
@@ -51,7 +51,7 @@
         )
 
     def accepts(self, message: Message) -> bool:
-        """Whether a request within the dialog is in order: a lower CSeq than the last is not (12.2.2)."""
+        """Check and record a request's CSeq; except for an ACK it must rise within the dialog (12.2.2)."""
         if message.cseq <= self.remote_cseq and message.method != "ACK":
             return False
         self.remote_cseq = max(self.remote_cseq, message.cseq)
@@ -59,7 +59,7 @@
 
 
 def acknowledge(invite: Message, answer: Message, via: str) -> Message:
-    """The ACK of a 2xx (section 13.2.2.4): a request of its own, to the target that the answer names."""
+    """The ACK of a 2xx (section 13.2.2.4): a separate request, to the Contact of the 2xx."""
     target = in_angle(answer.get("contact")) or invite.uri
     ack = request(
         "ACK", target, via=via, sender=invite.get("from"), to=answer.get("to"), call_id=invite.call_id,
@@ -69,7 +69,7 @@
 
 
 def cancel(invite: Message) -> Message:
-    """The CANCEL of an INVITE (section 9.1): its URI, Via, From, To, Call-ID and CSeq number."""
+    """The CANCEL of an INVITE (section 9.1), with its URI, Via, From, To, Call-ID and CSeq number."""
     return Message("CANCEL", invite.uri, 0, "", {
         "via": invite.headers["via"][:1], "max-forwards": ["70"], "from": [invite.get("from")],
         "to": [invite.get("to")], "call-id": [invite.call_id], "cseq": [f"{invite.cseq} CANCEL"],
--- a/eiderstep/sip/fields.py
+++ b/eiderstep/sip/fields.py
@@ -1,4 +1,4 @@
-"""The headers that routing rests on, read and written: causes, overload control, trunk groups, marks.
+"""Reads and writes the headers that routing uses: causes, overload control, trunk groups and private headers.
 
 Reason: RFC 3326 with Q.850 causes.  Overload: RFC 7339 (loss) and RFC 7415 (rate).  Trunk groups: RFC 4904.
 The private headers, all named `Eiderstep-...`, are listed in docs/protocol.md.
@@ -8,15 +8,15 @@
 
 from dataclasses import dataclass
 
-from eiderstep.sip.message import Message, in_angle, param
+from eiderstep.sip.message import Message, get_param, in_angle
 
 MS = 1_000_000
 
 CLASS, PATIENCE, PAUSE = "eiderstep-class", "eiderstep-patience", "eiderstep-pause"
 MARKS, ADVICE, WAITING = "eiderstep-marks", "eiderstep-advice", "eiderstep-waiting"
 CIRCUITS = "eiderstep-circuits"
-CIRCUITS_OF_ONE = 1024  # that one set-up may seize
-OWN = "Eiderstep"  # the protocol token of causes that Q.850 does not have
+MAX_CIRCUITS = 1024  # of one set-up
+OWN = "Eiderstep"  # protocol token in Reason for causes that Q.850 does not have
 
 NORMAL = 16
 BUSY = 17
@@ -26,19 +26,19 @@
 TEMPORARY = 41
 CONGESTED = 42
 NOT_THIS_CIRCUIT = 44
-TURNED_BACK = 2  # of our own protocol token, as is the next
+TURNED_BACK = 2  # this and the next are causes of the protocol `OWN`
 BEYOND_FULL = 18
 
 
 def reason(cause: int, text: str = "", protocol: str = "Q.850") -> str:
-    """A Reason value."""
+    """The value of a Reason header."""
     return f'{protocol};cause={cause};text="{text}"' if text else f"{protocol};cause={cause}"
 
 
 def read_reason(message: Message) -> tuple[str, int]:
-    """Protocol and cause of the first Reason that has one; ("", 0) where there is none."""
+    """Protocol and cause of the first Reason value with a numeric cause; ("", 0) if there is none."""
     for value in message.headers.get("reason", ()):
-        number = param(value, "cause")
+        number = get_param(value, "cause")
         if number.isascii() and number.isdigit():
             return value.partition(";")[0].strip(), int(number[:6])
     return "", 0
@@ -46,10 +46,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Load:
-    """What a processor says of itself.
+    """Overload control report of a processor.
 
-    `reduce`: share of set-ups it asks each sender to hold back (RFC 7339, in percent on the wire); `rate`:
-    set-ups a second (RFC 7415); `waiting`: set-ups in its queue.
+    `reduce`: share of set-ups that each sender is asked to hold back (RFC 7339, in percent on the wire);
+    `rate`: the set-ups per second that it accepts (RFC 7415); `waiting`: set-ups in its queue.
     """
 
     reduce: float | None = None
@@ -58,38 +58,38 @@
 
 
 def add_load(message: Message, load: Load) -> None:
-    """Put a report on a response: in its topmost Via, and the queue in a header of its own."""
-    first, *rest = message.headers["via"]
+    """Add a report to a response: to the topmost Via, and the queue length in a private header."""
+    top, *rest = message.headers["via"]
     if load.reduce is not None:
-        message.headers["via"] = [f'{first};oc={round(load.reduce * 100)};oc-algo="loss"', *rest]
+        message.headers["via"] = [f'{top};oc={round(load.reduce * 100)};oc-algo="loss"', *rest]
     elif load.rate is not None:
-        message.headers["via"] = [f'{first};oc={load.rate:g};oc-algo="rate"', *rest]
+        message.headers["via"] = [f'{top};oc={load.rate:g};oc-algo="rate"', *rest]
     if load.waiting is not None:
         message.set(WAITING, f"{load.waiting:g}")
 
 
 def read_load(message: Message) -> Load:
-    """The report on a response; figures that are absent or malformed are None."""
+    """The report on a response; absent or malformed values are None."""
     via = message.get("via")
     share = rate = None
     if ";oc=" in via:
-        value = figure(param(via, "oc"))
-        if param(via, "oc-algo") == "rate":
+        value = parse_decimal(get_param(via, "oc"))
+        if get_param(via, "oc-algo") == "rate":
             rate = value
         elif value is not None and value <= 100:
             share = value / 100
-    return Load(share, rate, figure(message.get(WAITING)))
+    return Load(share, rate, parse_decimal(message.get(WAITING)))
 
 
-def figure(text: str) -> float | None:
-    """A plain decimal of 0 or more, or None."""
+def parse_decimal(text: str) -> float | None:
+    """A decimal number of 0 or more without sign or exponent; None if the text is not one."""
     if not text or len(text) > 20 or not text.replace(".", "", 1).isdigit() or not text.isascii():
         return None
     return float(text)
 
 
 def group_name(one: int, other: int) -> str:
-    """The name of the trunk group of two exchanges, the same at both ends."""
+    """The name of the trunk group between two exchanges; the order of the exchanges does not matter."""
     return f"{min(one, other)}-{max(one, other)}"
 
 
@@ -99,12 +99,12 @@
 
 
 def read_trunk(message: Message) -> tuple[str, str]:
-    """Trunk group and context of the Contact; ("", "") for a call that came over none."""
+    """Trunk group and context of the Contact; ("", "") if the call did not come over a trunk group."""
     contact = message.get("contact")
     if ";tgrp=" not in contact:
         return "", ""
     user = in_angle(contact).partition(":")[2].partition("@")[0]
-    return param(user, "tgrp"), param(user, "trunk-context")
+    return get_param(user, "tgrp"), get_param(user, "trunk-context")
 
 
 def write_circuits(circuits: tuple[int, ...]) -> str:
@@ -112,36 +112,39 @@
 
 
 def read_circuits(text: str) -> tuple[int, ...]:
-    """Circuit numbers.  Raises ValueError unless they are distinct whole numbers."""
-    parts = text.split(",", CIRCUITS_OF_ONE)
-    if len(parts) > CIRCUITS_OF_ONE or not all(p.isascii() and p.isdigit() and len(p) <= 5 for p in parts):
-        raise ValueError(f"circuits {text[:40]!r} are not numbers")
+    """Circuit numbers separated by commas.  Raises ValueError unless they are distinct and up to 99999."""
+    parts = text.split(",", MAX_CIRCUITS)
+    if len(parts) > MAX_CIRCUITS or not all(p.isascii() and p.isdigit() and len(p) <= 5 for p in parts):
+        raise ValueError(f"circuits {text[:40]!r} are not up to {MAX_CIRCUITS} numbers")
     numbers = tuple(map(int, parts))
     if len(set(numbers)) != len(numbers):
-        raise ValueError(f"circuits {text[:40]!r} are not distinct")
+        raise ValueError(f"circuits {text[:40]!r} name a circuit twice")
     return numbers
 
 
 def write_wait(message: Message, wait: int) -> None:
-    """How long to stay away (ns): Retry-After in seconds, rounded up, and the exact figure beside it."""
+    """Add a wait (ns): Retry-After in seconds, rounded up, and a private header in milliseconds."""
     if wait > 0:
         message.set("retry-after", str(-(-wait // 1_000_000_000)))
         message.set(PAUSE, str(wait // MS))
 
 
 def read_wait(message: Message) -> int:
-    """The wait told (ns), 0 where none is."""
-    exact = message.get(PAUSE)
-    if exact.isascii() and exact.isdigit():
-        return int(exact[:9]) * MS
+    """The wait asked for (ns), 0 if there is none.  The private header takes precedence over Retry-After."""
+    milliseconds = message.get(PAUSE)
+    if milliseconds.isascii() and milliseconds.isdigit():
+        return int(milliseconds[:9]) * MS
     seconds = message.get("retry-after").partition(";")[0].partition("(")[0].strip()
     return int(seconds[:6]) * 1000 * MS if seconds.isascii() and seconds.isdigit() else 0
 
 
 def read_patience(message: Message, default: int) -> int:
-    """How long the caller waits (ns): the private header in milliseconds, else Expires, else the default."""
-    exact = message.get(PATIENCE)
-    if exact.isascii() and exact.isdigit():
-        return min(int(exact[:9]) * MS, default)
+    """How long the caller waits for an answer (ns), at most `default`.
+
+    Taken from the private header (ms), else from Expires (s), else `default`.
+    """
+    milliseconds = message.get(PATIENCE)
+    if milliseconds.isascii() and milliseconds.isdigit():
+        return min(int(milliseconds[:9]) * MS, default)
     seconds = message.get("expires")
     return min(int(seconds[:9]) * 1000 * MS, default) if seconds.isdigit() else default
--- a/eiderstep/sip/message.py
+++ b/eiderstep/sip/message.py
@@ -1,26 +1,26 @@
-"""A SIP message (RFC 3261 section 7): plain data, made by the parser or by `request` and `response`.
+"""SIP messages (RFC 3261 section 7), created by the parser or by `request` and `response`.
 
-Header values are kept as text, in order, under the long name in lower case.  Nothing is parsed until it is
-asked for: a call server reads five or six of the fifteen headers that pass through it.
+Header values are kept as text, in order, under the long name in lower case.  They are parsed only on access,
+because a call server reads five or six of the about fifteen headers of a message.
 """
 
 from __future__ import annotations
 
 VERSION = "SIP/2.0"
-COOKIE = "z9hG4bK"  # section 8.1.1.7: a branch that begins so is unique
+MAGIC_COOKIE = "z9hG4bK"  # section 8.1.1.7: a branch with this prefix is globally unique
 
-COMPACT = {
+COMPACT_NAMES = {
     "v": "via", "f": "from", "t": "to", "i": "call-id", "m": "contact", "l": "content-length",
     "c": "content-type", "e": "content-encoding", "k": "supported", "s": "subject", "o": "event",
     "u": "allow-events",
 }  # fmt: skip
-SPELLING = {
+CANONICAL_NAMES = {
     "via": "Via", "from": "From", "to": "To", "call-id": "Call-ID", "cseq": "CSeq", "contact": "Contact",
     "max-forwards": "Max-Forwards", "content-length": "Content-Length", "content-type": "Content-Type",
     "expires": "Expires", "reason": "Reason", "retry-after": "Retry-After", "session-id": "Session-ID",
     "allow": "Allow", "event": "Event", "unsupported": "Unsupported", "require": "Require",
 }  # fmt: skip
-PHRASES = {
+REASON_PHRASES = {
     100: "Trying", 180: "Ringing", 200: "OK", 400: "Bad Request", 404: "Not Found",
     405: "Method Not Allowed", 408: "Request Timeout", 413: "Request Entity Too Large",
     414: "Request-URI Too Long", 416: "Unsupported URI Scheme", 420: "Bad Extension",
@@ -31,22 +31,22 @@
 }  # fmt: skip
 
 
-_written = {name: f"{spelling}: " for name, spelling in SPELLING.items()}
-WRITTEN_LIMIT = 512  # names remembered; a peer that makes up names must not fill our memory
+_wire_names = {name: f"{spelling}: " for name, spelling in CANONICAL_NAMES.items()}
+MAX_WIRE_NAMES = 512  # bounds the memory that a peer can fill with invented names
 
 
-def written(name: str) -> str:
-    """A header's name as it is written on the wire, with its colon."""
-    known = _written.get(name)
+def wire_name(name: str) -> str:
+    """A header's name as written on the wire, followed by a colon and a space."""
+    known = _wire_names.get(name)
     if known is None:
         known = "-".join(part.capitalize() for part in name.split("-")) + ": "
-        if len(_written) < WRITTEN_LIMIT:
-            _written[name] = known
+        if len(_wire_names) < MAX_WIRE_NAMES:
+            _wire_names[name] = known
     return known
 
 
 class Message:
-    """One request (`method` and `uri` set) or response (`status` above 0)."""
+    """A request (`method` and `uri` set) or a response (`status` above 0)."""
 
     __slots__ = ("body", "headers", "method", "phrase", "status", "uri")
 
@@ -63,10 +63,9 @@
         self.headers, self.body = headers, body
 
     def __repr__(self) -> str:
-        return f"<{self.line()} {self.get('call-id')}>"
+        return f"<{self.start_line()} {self.get('call-id')}>"
 
-    def line(self) -> str:
-        """The start line."""
+    def start_line(self) -> str:
         return (
             f"{VERSION} {self.status} {self.phrase}" if self.status else f"{self.method} {self.uri} {VERSION}"
         )
@@ -77,7 +76,7 @@
         return values[0] if values else default
 
     def set(self, name: str, value: str | None) -> None:
-        """Replace a header; None takes it out."""
+        """Replace all values of a header; None removes it."""
         if value is None:
             self.headers.pop(name, None)
         else:
@@ -97,32 +96,32 @@
 
     @property
     def branch(self) -> str:
-        return param(self.get("via"), "branch")
+        return get_param(self.get("via"), "branch")
 
     @property
     def from_tag(self) -> str:
-        return param(after_angle(self.get("from")), "tag")
+        return get_param(header_params(self.get("from")), "tag")
 
     @property
     def to_tag(self) -> str:
-        return param(after_angle(self.get("to")), "tag")
+        return get_param(header_params(self.get("to")), "tag")
 
     def encode(self) -> bytes:
-        """The message as it goes on the wire; Content-Length is always written, as streams need it."""
-        lines = [self.line()]
+        """The bytes on the wire.  Content-Length is always written, as streams require it."""
+        lines = [self.start_line()]
         for name, values in self.headers.items():
             if name != "content-length":
-                head = _written.get(name) or written(name)
+                prefix = _wire_names.get(name) or wire_name(name)
                 if len(values) == 1:
-                    lines.append(head + values[0])
+                    lines.append(prefix + values[0])
                 else:
-                    lines += [head + value for value in values]
+                    lines += [prefix + value for value in values]
         lines.append(f"Content-Length: {len(self.body)}\r\n\r\n")
         return "\r\n".join(lines).encode("utf-8", "surrogateescape") + self.body
 
 
-def after_angle(value: str) -> str:
-    """What stands behind `<...>` of a name-addr: its header parameters, not those of the URI."""
+def header_params(value: str) -> str:
+    """The part after the `<...>` of a name-addr, thus without parameters of the URI; else the whole value."""
     return value.rpartition(">")[2] if ">" in value else value
 
 
@@ -134,16 +133,16 @@
     return value[start + 1 : value.find(">", start)]
 
 
-def param(value: str, name: str, default: str = "") -> str:
-    """One `;name=value` parameter, without its quotes; a flag without a value is its own name."""
-    at = value.find(f";{name}=")  # as everybody writes it
+def get_param(value: str, name: str, default: str = "") -> str:
+    """The value of a `;name=value` parameter, without quotes.  For a parameter without a value, its name."""
+    at = value.find(f";{name}=")  # fast path: the usual form
     if at >= 0 and (rest := value[at + len(name) + 2 :])[:1] not in ('"', " "):
         end = rest.find(";")
         return rest if end < 0 else rest[:end]
     lower = value.lower()
-    at, mark = 0, ";" + name
-    while (at := lower.find(mark, at)) >= 0:
-        at += len(mark)
+    at, prefix = 0, ";" + name
+    while (at := lower.find(prefix, at)) >= 0:
+        at += len(prefix)
         rest = value[at:]
         if not rest or rest[0] == ";":
             return name
@@ -158,7 +157,7 @@
 def request(
     method: str, uri: str, *, via: str, sender: str, to: str, call_id: str, cseq: int, hops: int = 70
 ) -> Message:
-    """A request with the six headers that every request carries (section 8.1.1)."""
+    """A request with the six headers that are mandatory in every request (section 8.1.1)."""
     headers = {
         "via": [via], "max-forwards": [str(hops)], "from": [sender], "to": [to], "call-id": [call_id],
         "cseq": [f"{cseq} {method}"],
@@ -166,18 +165,25 @@
     return Message(method, uri, 0, "", headers)
 
 
-def response(to: Message, status: int, tag: str = "", phrase: str = "") -> Message:
-    """A response to a request (section 8.2.6): Via, From, To, Call-ID and CSeq are the request's."""
-    headers: dict[str, list[str]] = {  # the values are shared: they are replaced, never changed in place
-        name: to.headers[name] for name in ("via", "from", "to", "call-id", "cseq") if name in to.headers
+def response(request_message: Message, status: int, tag: str = "", phrase: str = "") -> Message:
+    """A response to a request (section 8.2.6), with its Via, From, To, Call-ID and CSeq.
+
+    `tag` is added to a To without a tag, except in a 100.
+    """
+    headers: dict[
+        str, list[str]
+    ] = {  # shares the lists of values with the request: replace them, never change them in place
+        name: request_message.headers[name]
+        for name in ("via", "from", "to", "call-id", "cseq")
+        if name in request_message.headers
     }
-    if tag and status > 100 and not to.to_tag and "to" in headers:
-        headers["to"] = [f"{to.get('to')};tag={tag}"]
-    return Message("", "", status, phrase or PHRASES.get(status, "Unknown"), headers)
+    if tag and status > 100 and not request_message.to_tag and "to" in headers:
+        headers["to"] = [f"{request_message.get('to')};tag={tag}"]
+    return Message("", "", status, phrase or REASON_PHRASES.get(status, "Unknown"), headers)
 
 
 def split_address(text: str, port: int = 5060) -> tuple[str, int]:
-    """`host:port` or `[v6]:port`.  Raises ValueError where it is neither."""
+    """Host and port of `host:port` or `[v6]:port`; `port` if the text has none.  Raises ValueError."""
     host, sep, number = text.rpartition(":")
     if not sep or text.endswith("]"):
         host, number = text, str(port)
@@ -187,16 +193,16 @@
 
 
 def uri_parts(uri: str) -> tuple[str, str, str]:
-    """User, `host:port` and `;params` of a SIP URI; params of the user part (RFC 4904) stay with the user.
+    """User, `host:port` and `;params` of a SIP URI; parameters of the user part (RFC 4904) stay in the user.
 
-    Raises ValueError for another scheme or no host.
+    Raises ValueError for another scheme, white space or a missing host.
     """
     scheme, sep, rest = uri.partition(":")
     if not sep or scheme.lower() not in ("sip", "sips"):
         raise ValueError(f"{uri!r} is not a SIP URI")
-    user, at, place = rest.rpartition("@")
-    place = place.partition("?")[0]
-    host, semi, params = place.partition(";")
+    user, at, host_part = rest.rpartition("@")
+    host_part = host_part.partition("?")[0]
+    host, semicolon, params = host_part.partition(";")
     if not host or any(c.isspace() for c in uri):
-        raise ValueError(f"{uri!r} names no host")
-    return user if at else "", host, semi + params
+        raise ValueError(f"{uri!r} has white space or no host")
+    return user if at else "", host, semicolon + params
--- a/eiderstep/sip/transaction.py
+++ b/eiderstep/sip/transaction.py
@@ -1,8 +1,8 @@
-"""Transactions (RFC 3261 section 17, with RFC 6026's Accepted state), one state table, no I/O and no clock.
+"""SIP transactions (RFC 3261 section 17 with the Accepted state of RFC 6026), without I/O or a clock.
 
-`Transactions` takes messages and times and leaves three things behind: bytes to send (`out`), what its user
-should know (`events`), and when it wants to be called again (`next_due`).  Over a reliable transport nothing
-is resent and the waits for stray resends (timers D, I, J, K) are nought, as the RFC has it.
+`Transactions` is driven with messages and the current time.  It yields bytes to send (`out`), events for its
+user (`events`) and the time of its next timer (`next_due`).  Over a reliable transport nothing is
+retransmitted and timers D, I, J and K, which absorb retransmissions, are zero as the RFC requires.
 """
 
 from __future__ import annotations
@@ -12,14 +12,14 @@
 from dataclasses import dataclass
 from enum import Enum, auto
 
-from eiderstep.sip.message import COOKIE, Message
+from eiderstep.sip.message import MAGIC_COOKIE, Message
 
 MS = 1_000_000
 
 
 @dataclass(frozen=True, slots=True)
 class Times:
-    """The base times of section 17.1.1.1 (ns).  Short ones serve tests and fast links."""
+    """The base times of section 17.1.1.1 (ns).  Shorter ones are for tests and fast links."""
 
     t1: int = 500 * MS
     t2: int = 4000 * MS
@@ -27,14 +27,14 @@
 
     @property
     def give_up(self) -> int:
-        """64 x T1: timers B, F, H, J, L and M."""
+        """Transaction timeout, 64 x T1: timers B, F, H, J, L and M."""
         return 64 * self.t1
 
 
 class State(Enum):
-    """All states of the four machines."""
+    """The states of the four state machines of a transaction."""
 
-    __hash__ = object.__hash__  # Enum hashes its name, in Python, at each look into the table
+    __hash__ = object.__hash__  # faster table lookups: Enum hashes its name in Python code
 
     CALLING = auto()
     TRYING = auto()
@@ -46,9 +46,9 @@
 
 
 class Kind(Enum):
-    """The four machines: who asked, and whether it was an INVITE."""
+    """The four state machines: client or server side, INVITE or another method."""
 
-    __hash__ = object.__hash__  # Enum hashes its name, in Python, at each look into the table
+    __hash__ = object.__hash__  # faster table lookups: Enum hashes its name in Python code
 
     CLIENT_INVITE = auto()
     CLIENT = auto()
@@ -57,88 +57,88 @@
 
 
 class Input(Enum):
-    """What can happen to a transaction."""
+    """Inputs of the state machines."""
 
-    __hash__ = object.__hash__  # Enum hashes its name, in Python, at each look into the table
+    __hash__ = object.__hash__  # faster table lookups: Enum hashes its name in Python code
 
-    PROVISIONAL = auto()  # received by a client, sent by a server
+    PROVISIONAL = auto()  # this and the next two: response received by a client or sent by a server
     SUCCESS = auto()
     FAILURE = auto()
-    REPEAT = auto()  # the request came again
+    RETRANSMISSION = auto()  # of the request, received by a server
     ACK = auto()
-    RESEND_DUE = auto()  # timers A, E, G
-    GIVE_UP_DUE = auto()  # timers B, F, H
+    RETRANSMIT_DUE = auto()  # timers A, E, G
+    TIMEOUT_DUE = auto()  # timers B, F, H
     LINGER_DUE = auto()  # timers D, I, J, K, L, M
-    BROKEN = auto()  # the transport failed
+    TRANSPORT_FAILED = auto()
 
 
-class Do(Enum):
-    """What a transition asks for."""
+class Action(Enum):
+    """Actions of a transition."""
 
-    __hash__ = object.__hash__  # Enum hashes its name, in Python, at each look into the table
+    __hash__ = object.__hash__  # faster table lookups: Enum hashes its name in Python code
 
-    TELL = auto()  # hand the message to the user
-    RESEND = auto()  # the last message again
-    ACK = auto()  # acknowledge a final response that is no success
-    STOP_RESEND = auto()
-    ARM_RESEND = auto()  # timer G starts with the final response
-    ARM_GIVE_UP = auto()
-    LINGER = auto()  # wait for stray resends, nought where the transport is reliable
+    REPORT_RESPONSE = auto()
+    RETRANSMIT = auto()  # the last message sent
+    SEND_ACK = auto()  # for a final response other than 2xx
+    STOP_RETRANSMITS = auto()
+    START_RETRANSMITS = auto()  # timer G starts with the final response
+    START_TIMEOUT = auto()
+    LINGER = auto()  # wait for retransmissions (timers D, I, J, K); no wait on a reliable transport
     LINGER_LONG = auto()  # timers L and M of RFC 6026
-    TIMED_OUT = auto()
-    FAILED = auto()
+    REPORT_TIMEOUT = auto()
+    REPORT_TRANSPORT_FAILURE = auto()
 
 
-S, N, D = State, Input, Do
-TABLE: dict[Kind, dict[tuple[State, Input], tuple[State, tuple[Do, ...]]]] = {
+S, N, D = State, Input, Action  # short names for the table below
+TRANSITIONS: dict[Kind, dict[tuple[State, Input], tuple[State, tuple[Action, ...]]]] = {
     Kind.CLIENT_INVITE: {
-        (S.CALLING, N.PROVISIONAL): (S.PROCEEDING, (D.STOP_RESEND, D.TELL)),
-        (S.CALLING, N.SUCCESS): (S.ACCEPTED, (D.STOP_RESEND, D.TELL, D.LINGER_LONG)),
-        (S.CALLING, N.FAILURE): (S.COMPLETED, (D.STOP_RESEND, D.ACK, D.TELL, D.LINGER)),
-        (S.CALLING, N.RESEND_DUE): (S.CALLING, (D.RESEND,)),
-        (S.CALLING, N.GIVE_UP_DUE): (S.TERMINATED, (D.TIMED_OUT,)),
-        (S.CALLING, N.BROKEN): (S.TERMINATED, (D.FAILED,)),
-        (S.PROCEEDING, N.PROVISIONAL): (S.PROCEEDING, (D.TELL,)),
-        (S.PROCEEDING, N.SUCCESS): (S.ACCEPTED, (D.TELL, D.LINGER_LONG)),
-        (S.PROCEEDING, N.FAILURE): (S.COMPLETED, (D.ACK, D.TELL, D.LINGER)),
-        (S.PROCEEDING, N.BROKEN): (S.TERMINATED, (D.FAILED,)),
-        (S.ACCEPTED, N.SUCCESS): (S.ACCEPTED, (D.TELL,)),  # again, or a fork: the user acknowledges each
+        (S.CALLING, N.PROVISIONAL): (S.PROCEEDING, (D.STOP_RETRANSMITS, D.REPORT_RESPONSE)),
+        (S.CALLING, N.SUCCESS): (S.ACCEPTED, (D.STOP_RETRANSMITS, D.REPORT_RESPONSE, D.LINGER_LONG)),
+        (S.CALLING, N.FAILURE): (S.COMPLETED, (D.STOP_RETRANSMITS, D.SEND_ACK, D.REPORT_RESPONSE, D.LINGER)),
+        (S.CALLING, N.RETRANSMIT_DUE): (S.CALLING, (D.RETRANSMIT,)),
+        (S.CALLING, N.TIMEOUT_DUE): (S.TERMINATED, (D.REPORT_TIMEOUT,)),
+        (S.CALLING, N.TRANSPORT_FAILED): (S.TERMINATED, (D.REPORT_TRANSPORT_FAILURE,)),
+        (S.PROCEEDING, N.PROVISIONAL): (S.PROCEEDING, (D.REPORT_RESPONSE,)),
+        (S.PROCEEDING, N.SUCCESS): (S.ACCEPTED, (D.REPORT_RESPONSE, D.LINGER_LONG)),
+        (S.PROCEEDING, N.FAILURE): (S.COMPLETED, (D.SEND_ACK, D.REPORT_RESPONSE, D.LINGER)),
+        (S.PROCEEDING, N.TRANSPORT_FAILED): (S.TERMINATED, (D.REPORT_TRANSPORT_FAILURE,)),
+        (S.ACCEPTED, N.SUCCESS): (S.ACCEPTED, (D.REPORT_RESPONSE,)),  # repeat or fork: user sends each ACK
         (S.ACCEPTED, N.LINGER_DUE): (S.TERMINATED, ()),
-        (S.COMPLETED, N.FAILURE): (S.COMPLETED, (D.ACK,)),
+        (S.COMPLETED, N.FAILURE): (S.COMPLETED, (D.SEND_ACK,)),
         (S.COMPLETED, N.LINGER_DUE): (S.TERMINATED, ()),
     },
     Kind.CLIENT: {
-        (S.TRYING, N.PROVISIONAL): (S.PROCEEDING, (D.TELL,)),
-        (S.TRYING, N.SUCCESS): (S.COMPLETED, (D.STOP_RESEND, D.TELL, D.LINGER)),
-        (S.TRYING, N.FAILURE): (S.COMPLETED, (D.STOP_RESEND, D.TELL, D.LINGER)),
-        (S.TRYING, N.RESEND_DUE): (S.TRYING, (D.RESEND,)),
-        (S.TRYING, N.GIVE_UP_DUE): (S.TERMINATED, (D.TIMED_OUT,)),
-        (S.TRYING, N.BROKEN): (S.TERMINATED, (D.FAILED,)),
-        (S.PROCEEDING, N.PROVISIONAL): (S.PROCEEDING, (D.TELL,)),
-        (S.PROCEEDING, N.SUCCESS): (S.COMPLETED, (D.STOP_RESEND, D.TELL, D.LINGER)),
-        (S.PROCEEDING, N.FAILURE): (S.COMPLETED, (D.STOP_RESEND, D.TELL, D.LINGER)),
-        (S.PROCEEDING, N.RESEND_DUE): (S.PROCEEDING, (D.RESEND,)),
-        (S.PROCEEDING, N.GIVE_UP_DUE): (S.TERMINATED, (D.TIMED_OUT,)),
-        (S.PROCEEDING, N.BROKEN): (S.TERMINATED, (D.FAILED,)),
+        (S.TRYING, N.PROVISIONAL): (S.PROCEEDING, (D.REPORT_RESPONSE,)),
+        (S.TRYING, N.SUCCESS): (S.COMPLETED, (D.STOP_RETRANSMITS, D.REPORT_RESPONSE, D.LINGER)),
+        (S.TRYING, N.FAILURE): (S.COMPLETED, (D.STOP_RETRANSMITS, D.REPORT_RESPONSE, D.LINGER)),
+        (S.TRYING, N.RETRANSMIT_DUE): (S.TRYING, (D.RETRANSMIT,)),
+        (S.TRYING, N.TIMEOUT_DUE): (S.TERMINATED, (D.REPORT_TIMEOUT,)),
+        (S.TRYING, N.TRANSPORT_FAILED): (S.TERMINATED, (D.REPORT_TRANSPORT_FAILURE,)),
+        (S.PROCEEDING, N.PROVISIONAL): (S.PROCEEDING, (D.REPORT_RESPONSE,)),
+        (S.PROCEEDING, N.SUCCESS): (S.COMPLETED, (D.STOP_RETRANSMITS, D.REPORT_RESPONSE, D.LINGER)),
+        (S.PROCEEDING, N.FAILURE): (S.COMPLETED, (D.STOP_RETRANSMITS, D.REPORT_RESPONSE, D.LINGER)),
+        (S.PROCEEDING, N.RETRANSMIT_DUE): (S.PROCEEDING, (D.RETRANSMIT,)),
+        (S.PROCEEDING, N.TIMEOUT_DUE): (S.TERMINATED, (D.REPORT_TIMEOUT,)),
+        (S.PROCEEDING, N.TRANSPORT_FAILED): (S.TERMINATED, (D.REPORT_TRANSPORT_FAILURE,)),
         (S.COMPLETED, N.LINGER_DUE): (S.TERMINATED, ()),
     },
     Kind.SERVER_INVITE: {
         (S.PROCEEDING, N.PROVISIONAL): (S.PROCEEDING, ()),
-        (S.PROCEEDING, N.REPEAT): (S.PROCEEDING, (D.RESEND,)),
-        (S.PROCEEDING, N.SUCCESS): (S.ACCEPTED, (D.ARM_RESEND, D.ARM_GIVE_UP)),
-        (S.PROCEEDING, N.FAILURE): (S.COMPLETED, (D.ARM_RESEND, D.ARM_GIVE_UP)),
-        (S.PROCEEDING, N.BROKEN): (S.TERMINATED, (D.FAILED,)),
-        (S.ACCEPTED, N.REPEAT): (S.ACCEPTED, (D.RESEND,)),
-        (S.ACCEPTED, N.RESEND_DUE): (S.ACCEPTED, (D.RESEND,)),
-        (S.ACCEPTED, N.ACK): (S.CONFIRMED, (D.STOP_RESEND, D.LINGER_LONG)),
-        (S.ACCEPTED, N.GIVE_UP_DUE): (S.TERMINATED, (D.TIMED_OUT,)),
-        (S.ACCEPTED, N.BROKEN): (S.TERMINATED, (D.FAILED,)),
-        (S.COMPLETED, N.REPEAT): (S.COMPLETED, (D.RESEND,)),
-        (S.COMPLETED, N.RESEND_DUE): (S.COMPLETED, (D.RESEND,)),
-        (S.COMPLETED, N.ACK): (S.CONFIRMED, (D.STOP_RESEND, D.LINGER)),
-        (S.COMPLETED, N.GIVE_UP_DUE): (S.TERMINATED, ()),
-        (S.COMPLETED, N.BROKEN): (S.TERMINATED, ()),
-        (S.CONFIRMED, N.REPEAT): (S.CONFIRMED, ()),
+        (S.PROCEEDING, N.RETRANSMISSION): (S.PROCEEDING, (D.RETRANSMIT,)),
+        (S.PROCEEDING, N.SUCCESS): (S.ACCEPTED, (D.START_RETRANSMITS, D.START_TIMEOUT)),
+        (S.PROCEEDING, N.FAILURE): (S.COMPLETED, (D.START_RETRANSMITS, D.START_TIMEOUT)),
+        (S.PROCEEDING, N.TRANSPORT_FAILED): (S.TERMINATED, (D.REPORT_TRANSPORT_FAILURE,)),
+        (S.ACCEPTED, N.RETRANSMISSION): (S.ACCEPTED, (D.RETRANSMIT,)),
+        (S.ACCEPTED, N.RETRANSMIT_DUE): (S.ACCEPTED, (D.RETRANSMIT,)),
+        (S.ACCEPTED, N.ACK): (S.CONFIRMED, (D.STOP_RETRANSMITS, D.LINGER_LONG)),
+        (S.ACCEPTED, N.TIMEOUT_DUE): (S.TERMINATED, (D.REPORT_TIMEOUT,)),
+        (S.ACCEPTED, N.TRANSPORT_FAILED): (S.TERMINATED, (D.REPORT_TRANSPORT_FAILURE,)),
+        (S.COMPLETED, N.RETRANSMISSION): (S.COMPLETED, (D.RETRANSMIT,)),
+        (S.COMPLETED, N.RETRANSMIT_DUE): (S.COMPLETED, (D.RETRANSMIT,)),
+        (S.COMPLETED, N.ACK): (S.CONFIRMED, (D.STOP_RETRANSMITS, D.LINGER)),
+        (S.COMPLETED, N.TIMEOUT_DUE): (S.TERMINATED, ()),
+        (S.COMPLETED, N.TRANSPORT_FAILED): (S.TERMINATED, ()),
+        (S.CONFIRMED, N.RETRANSMISSION): (S.CONFIRMED, ()),
         (S.CONFIRMED, N.ACK): (S.CONFIRMED, ()),
         (S.CONFIRMED, N.LINGER_DUE): (S.TERMINATED, ()),
     },
@@ -146,57 +146,57 @@
         (S.TRYING, N.PROVISIONAL): (S.PROCEEDING, ()),
         (S.TRYING, N.SUCCESS): (S.COMPLETED, (D.LINGER,)),
         (S.TRYING, N.FAILURE): (S.COMPLETED, (D.LINGER,)),
-        (S.TRYING, N.REPEAT): (S.TRYING, ()),
-        (S.TRYING, N.BROKEN): (S.TERMINATED, ()),
+        (S.TRYING, N.RETRANSMISSION): (S.TRYING, ()),
+        (S.TRYING, N.TRANSPORT_FAILED): (S.TERMINATED, ()),
         (S.PROCEEDING, N.PROVISIONAL): (S.PROCEEDING, ()),
-        (S.PROCEEDING, N.REPEAT): (S.PROCEEDING, (D.RESEND,)),
+        (S.PROCEEDING, N.RETRANSMISSION): (S.PROCEEDING, (D.RETRANSMIT,)),
         (S.PROCEEDING, N.SUCCESS): (S.COMPLETED, (D.LINGER,)),
         (S.PROCEEDING, N.FAILURE): (S.COMPLETED, (D.LINGER,)),
-        (S.PROCEEDING, N.BROKEN): (S.TERMINATED, ()),
-        (S.COMPLETED, N.REPEAT): (S.COMPLETED, (D.RESEND,)),
+        (S.PROCEEDING, N.TRANSPORT_FAILED): (S.TERMINATED, ()),
+        (S.COMPLETED, N.RETRANSMISSION): (S.COMPLETED, (D.RETRANSMIT,)),
         (S.COMPLETED, N.LINGER_DUE): (S.TERMINATED, ()),
     },
 }
-FIRST = {
+INITIAL_STATE = {
     Kind.CLIENT_INVITE: S.CALLING, Kind.SERVER_INVITE: S.PROCEEDING,
     Kind.CLIENT: S.TRYING, Kind.SERVER: S.TRYING,
 }  # fmt: skip
-SENDS_FIRST = (Kind.CLIENT_INVITE, Kind.CLIENT)
-# The flow is part of the key.  Danger: a response, a CANCEL or an ACK over another connection than the
-# request's would be believed from whoever sends it, and a branch used in advance would swallow an honest
-# request.  Hurts nobody over TCP: a lost connection ends its transactions.  Over UDP a flow is an address.
-Key = tuple[int, str, str, str]
-NOTHING = Message("", "", 0, "", {})  # stands for the request of a transaction that is over
+CLIENT_KINDS = (Kind.CLIENT_INVITE, Kind.CLIENT)
+# The flow is part of the key.  Without it any other connection could send a response, a CANCEL or an ACK for
+# the transaction, and could block a genuine request by sending one with its branch in advance.  Over TCP this
+# costs nothing, as the loss of a connection ends its transactions.  Over UDP a flow is the peer's address.
+TransactionKey = tuple[int, str, str, str]
+NO_REQUEST = Message("", "", 0, "", {})  # replaces the request of a terminated transaction
 
 
 class Transaction:
-    """One transaction.  `owner` is its user's to set; `last` is what a resend repeats."""
+    """One transaction.  `owner` is set by the user; `last_sent` is the message that is retransmitted."""
 
     __slots__ = (
         "flow",
-        "gap",
+        "retransmit_interval",
         "key",
         "kind",
-        "last",
-        "lingers",
+        "last_sent",
+        "linger_until",
         "owner",
         "reliable",
         "request",
-        "resend_at",
+        "retransmit_at",
         "state",
     )
 
-    def __init__(self, kind: Kind, key: Key, flow: int, reliable: bool, request: Message) -> None:
+    def __init__(self, kind: Kind, key: TransactionKey, flow: int, reliable: bool, request: Message) -> None:
         self.kind, self.key, self.flow, self.reliable, self.request = kind, key, flow, reliable, request
-        self.state = FIRST[kind]
-        self.last = b""
-        self.gap = self.resend_at = self.lingers = 0
+        self.state = INITIAL_STATE[kind]
+        self.last_sent = b""
+        self.retransmit_interval = self.retransmit_at = self.linger_until = 0
         self.owner: object = None
 
 
 @dataclass(frozen=True, slots=True)
 class NewRequest:
-    """A request that began a transaction."""
+    """A request that created a server transaction."""
 
     tx: Transaction
     message: Message
@@ -204,7 +204,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """A response to one of our requests."""
+    """A response to a request of a client transaction."""
 
     tx: Transaction
     message: Message
@@ -212,92 +212,101 @@
 
 @dataclass(frozen=True, slots=True)
 class NoAnswer:
-    """No final response came in 64 x T1, no ACK for our 2xx, or (`broken`) the transport failed."""
+    """No final response, or no ACK for a 2xx sent, within 64 x T1; `broken`: the transport failed."""
 
     tx: Transaction
     broken: bool
 
 
 @dataclass(frozen=True, slots=True)
-class Stray:
-    """A message of no transaction: the ACK of a 2xx, or a response that is too late."""
+class StrayMessage:
+    """A message that matches no transaction: the ACK of a 2xx, or a late response."""
 
     flow: int
     message: Message
 
 
-TxEvent = NewRequest | Answer | NoAnswer | Stray
+TransactionEvent = NewRequest | Answer | NoAnswer | StrayMessage
 
 
 class Transactions:
-    """All transactions of one element.  A flow is a whole number that names a connection or a UDP peer."""
+    """The transaction layer of one SIP element.  A flow is the number of a connection or a UDP peer."""
 
     def __init__(self, times: Times | None = None) -> None:
         self.times = times or Times()
         self.out: list[tuple[int, bytes]] = []
-        self.events: list[TxEvent] = []
-        self.clients: dict[Key, Transaction] = {}
-        self.servers: dict[Key, Transaction] = {}
-        self.by_flow: dict[int, dict[Key, Transaction]] = {}
-        self._accepted: dict[tuple[str, str, int], Transaction] = {}  # 2xx that wait for their ACK
+        self.events: list[TransactionEvent] = []
+        self.clients: dict[TransactionKey, Transaction] = {}
+        self.servers: dict[TransactionKey, Transaction] = {}
+        self.by_flow: dict[int, dict[TransactionKey, Transaction]] = {}
+        self._awaiting_ack: dict[tuple[str, str, int], Transaction] = {}  # by Call-ID, From tag, CSeq
         self._heap: list[tuple[int, int, Transaction, Input]] = []
-        self._count = 0
+        self._timer_count = 0
 
-    # -- what the user does --------------------------------------------------------------------------------
+    # -- calls of the user ---------------------------------------------------------------------------------
 
     def send(self, now: int, flow: int, message: Message, reliable: bool = True) -> Transaction:
-        """Begin a client transaction."""
+        """Send a request and start its client transaction."""
         invite = message.method == "INVITE"
         key = (flow, message.branch, "c", message.method)
         tx = Transaction(Kind.CLIENT_INVITE if invite else Kind.CLIENT, key, flow, reliable, message)
         self.clients[key] = tx
         self.by_flow.setdefault(flow, {})[key] = tx
-        tx.last = message.encode()
-        self.out.append((flow, tx.last))
-        self._arm(tx, now + self.times.give_up, N.GIVE_UP_DUE)
+        tx.last_sent = message.encode()
+        self.out.append((flow, tx.last_sent))
+        self._start_timer(tx, now + self.times.give_up, Input.TIMEOUT_DUE)
         if not reliable:
-            self._arm_resend(tx, now)
+            self._schedule_retransmit(tx, now)
         return tx
 
     def respond(self, now: int, tx: Transaction, message: Message) -> bool:
-        """Send a response; False where the transaction is over or had its final one."""
-        kind = N.PROVISIONAL if message.status < 200 else N.SUCCESS if message.status < 300 else N.FAILURE
-        if (tx.state, kind) not in TABLE[tx.kind]:
+        """Send a response; False if the transaction has ended or has sent its final response."""
+        response_class = (
+            Input.PROVISIONAL
+            if message.status < 200
+            else Input.SUCCESS
+            if message.status < 300
+            else Input.FAILURE
+        )
+        if (tx.state, response_class) not in TRANSITIONS[tx.kind]:
             return False
-        tx.last = message.encode()
-        self.out.append((tx.flow, tx.last))
-        self._step(now, tx, kind, None)
+        tx.last_sent = message.encode()
+        self.out.append((tx.flow, tx.last_sent))
+        self._apply(now, tx, response_class, None)
         return True
 
     def forget(self, tx: Transaction) -> None:
-        """End a transaction whose outcome nobody waits for any more."""
-        self._end(tx)
+        """End a transaction whose outcome is no longer needed; it reports no more events."""
+        self._terminate(tx)
 
-    # -- what happens --------------------------------------------------------------------------------------
+    # -- messages, timers ----------------------------------------------------------------------------------
 
     def receive(self, now: int, flow: int, message: Message, reliable: bool = True) -> None:
-        """Take a message from the network."""
+        """Handle a message from the network."""
         if message.status:
-            found = self.clients.get((flow, message.branch, "c", message.cseq_method))
-            if found is None:
-                self.events.append(Stray(flow, message))
+            existing = self.clients.get((flow, message.branch, "c", message.cseq_method))
+            if existing is None:
+                self.events.append(StrayMessage(flow, message))
                 return
             code = message.status
-            self._step(
-                now, found, N.PROVISIONAL if code < 200 else N.SUCCESS if code < 300 else N.FAILURE, message
+            self._apply(
+                now,
+                existing,
+                Input.PROVISIONAL if code < 200 else Input.SUCCESS if code < 300 else Input.FAILURE,
+                message,
             )
             return
         method = "INVITE" if message.method == "ACK" else message.method
         key = self.server_key(flow, message, method)
-        found = self.servers.get(key)
+        existing = self.servers.get(key)
         if message.method == "ACK":
-            found = found or self._acknowledged(flow, message)
-            if found is not None:
-                self._step(now, found, N.ACK, message)
-            self.events.append(Stray(flow, message))
+            existing = existing or self._find_by_2xx_ack(flow, message)
+            if existing is not None:
+                self._apply(now, existing, Input.ACK, message)
+            self.events.append(StrayMessage(flow, message))
             return
-        if found is not None:
-            self._step(now, found, N.REPEAT, message)
+        if existing is not None:
+            self._apply(now, existing, Input.RETRANSMISSION, message)
             return
         tx = Transaction(
             Kind.SERVER_INVITE if method == "INVITE" else Kind.SERVER, key, flow, reliable, message
@@ -307,76 +316,77 @@
         self.events.append(NewRequest(tx, message))
 
     @staticmethod
-    def server_key(flow: int, message: Message, method: str) -> Key:
-        """Section 17.2.3; without the magic cookie the dialog's own marks stand in for the branch."""
+    def server_key(flow: int, message: Message, method: str) -> TransactionKey:
+        """Key by section 17.2.3.  Without the magic cookie, Call-ID, CSeq and From tag replace the branch."""
         branch = message.branch
-        if not branch.startswith(COOKIE):
+        if not branch.startswith(MAGIC_COOKIE):
             branch = f"{message.call_id} {message.cseq} {message.from_tag}"
         return (flow, branch, message.get("via").partition(";")[0].partition(" ")[2].strip().lower(), method)
 
-    def _acknowledged(self, flow: int, ack: Message) -> Transaction | None:
-        """The 2xx that an ACK is for: it has a branch of its own, so the dialog tells."""
-        found = self._accepted.get((ack.call_id, ack.from_tag, ack.cseq))
-        return found if found is not None and found.flow == flow else None
+    def _find_by_2xx_ack(self, flow: int, ack: Message) -> Transaction | None:
+        """The transaction of the 2xx that an ACK is for, by dialog, as this ACK has a branch of its own."""
+        tx = self._awaiting_ack.get((ack.call_id, ack.from_tag, ack.cseq))
+        return tx if tx is not None and tx.flow == flow else None
 
     def broken(self, now: int, flow: int) -> None:
-        """A connection is lost: all that was open on it fails (section 18.4)."""
+        """A connection is lost: all transactions on it fail (section 18.4)."""
         for tx in list(self.by_flow.pop(flow, {}).values()):
-            self._step(now, tx, N.BROKEN, None)
-            self._end(tx)
+            self._apply(now, tx, Input.TRANSPORT_FAILED, None)
+            self._terminate(tx)
 
     def due(self, now: int) -> None:
-        """Run the timers that are due."""
+        """Run the timers that are due at `now`."""
         while self._heap and self._heap[0][0] <= now:
-            at, _, tx, what = heapq.heappop(self._heap)
-            if what is N.RESEND_DUE:
-                if tx.resend_at != at:
+            at, _, tx, timer = heapq.heappop(self._heap)
+            if timer is Input.RETRANSMIT_DUE:
+                if tx.retransmit_at != at:
                     continue
-                self._step(now, tx, what, None)
-                if tx.resend_at and tx.state is not S.TERMINATED:
-                    self._arm_resend(tx, now)
-            elif what is not N.LINGER_DUE or tx.lingers == at:
-                self._step(now, tx, what, None)
+                self._apply(now, tx, timer, None)
+                if tx.retransmit_at and tx.state is not State.TERMINATED:
+                    self._schedule_retransmit(tx, now)
+            elif timer is not Input.LINGER_DUE or tx.linger_until == at:
+                self._apply(now, tx, timer, None)
 
     def next_due(self) -> int | None:
-        """When `due` is wanted next; entries of transactions that are over fall away here."""
-        while self._heap and self._heap[0][2].state is S.TERMINATED:
+        """When to call `due` next, None if no timer runs.  Drops timers of ended transactions."""
+        while self._heap and self._heap[0][2].state is State.TERMINATED:
             heapq.heappop(self._heap)
         return self._heap[0][0] if self._heap else None
 
-    # -- the machine ---------------------------------------------------------------------------------------
+    # -- state machines ------------------------------------------------------------------------------------
 
-    def _arm(self, tx: Transaction, at: int, what: Input) -> None:
-        self._count += 1
-        heapq.heappush(self._heap, (at, self._count, tx, what))
+    def _start_timer(self, tx: Transaction, at: int, timer: Input) -> None:
+        self._timer_count += 1
+        heapq.heappush(self._heap, (at, self._timer_count, tx, timer))
 
-    def _arm_resend(self, tx: Transaction, now: int) -> None:
-        """Timers A, E and G: doubling gaps, all but A up to T2."""
+    def _schedule_retransmit(self, tx: Transaction, now: int) -> None:
+        """Timers A, E and G: the interval doubles, up to T2 except for timer A."""
         cap = self.times.give_up if tx.kind is Kind.CLIENT_INVITE else self.times.t2
-        slow = tx.kind is Kind.CLIENT and tx.state is S.PROCEEDING
-        tx.gap = cap if slow else min(2 * tx.gap or self.times.t1, cap)
-        tx.resend_at = now + tx.gap
-        self._arm(tx, tx.resend_at, N.RESEND_DUE)
-
-    def _step(self, now: int, tx: Transaction, what: Input, message: Message | None) -> None:
-        found = TABLE[tx.kind].get((tx.state, what))
-        if found is None:
+        at_cap = tx.kind is Kind.CLIENT and tx.state is State.PROCEEDING
+        tx.retransmit_interval = cap if at_cap else min(2 * tx.retransmit_interval or self.times.t1, cap)
+        tx.retransmit_at = now + tx.retransmit_interval
+        self._start_timer(tx, tx.retransmit_at, Input.RETRANSMIT_DUE)
+
+    def _apply(self, now: int, tx: Transaction, event: Input, message: Message | None) -> None:
+        """Make the transition for an input, if the state has one."""
+        transition = TRANSITIONS[tx.kind].get((tx.state, event))
+        if transition is None:
             return
-        tx.state, todo = found
-        for do in todo:
-            DOERS[do](self, now, tx, message)
-        if tx.state is S.TERMINATED:
-            self._end(tx)
+        tx.state, actions = transition
+        for action in actions:
+            ACTION_HANDLERS[action](self, now, tx, message)
+        if tx.state is State.TERMINATED:
+            self._terminate(tx)
 
-    def _tell(self, now: int, tx: Transaction, message: Message | None) -> None:
+    def _report_response(self, now: int, tx: Transaction, message: Message | None) -> None:
         assert message is not None
         self.events.append(Answer(tx, message))
 
-    def _resend(self, now: int, tx: Transaction, message: Message | None) -> None:
-        if tx.last:
-            self.out.append((tx.flow, tx.last))
+    def _retransmit(self, now: int, tx: Transaction, message: Message | None) -> None:
+        if tx.last_sent:
+            self.out.append((tx.flow, tx.last_sent))
 
-    def _ack(self, now: int, tx: Transaction, message: Message | None) -> None:
+    def _send_ack(self, now: int, tx: Transaction, message: Message | None) -> None:
         assert message is not None
         ack = Message("ACK", tx.request.uri, 0, "", {
             "via": tx.request.headers["via"][:1], "max-forwards": ["70"], "from": [tx.request.get("from")],
@@ -384,23 +394,23 @@
         })  # fmt: skip
         self.out.append((tx.flow, ack.encode()))
 
-    def _stop_resend(self, now: int, tx: Transaction, message: Message | None) -> None:
-        tx.resend_at = 0
+    def _stop_retransmits(self, now: int, tx: Transaction, message: Message | None) -> None:
+        tx.retransmit_at = 0
 
-    def _start_resend(self, now: int, tx: Transaction, message: Message | None) -> None:
-        if tx.state is S.ACCEPTED:
+    def _start_retransmits(self, now: int, tx: Transaction, message: Message | None) -> None:
+        if tx.state is State.ACCEPTED:
             request = tx.request
-            self._accepted[request.call_id, request.from_tag, request.cseq] = tx
+            self._awaiting_ack[request.call_id, request.from_tag, request.cseq] = tx
         if not tx.reliable:
-            self._arm_resend(tx, now)
+            self._schedule_retransmit(tx, now)
 
-    def _start_give_up(self, now: int, tx: Transaction, message: Message | None) -> None:
-        self._arm(tx, now + self.times.give_up, N.GIVE_UP_DUE)
+    def _start_timeout(self, now: int, tx: Transaction, message: Message | None) -> None:
+        self._start_timer(tx, now + self.times.give_up, Input.TIMEOUT_DUE)
 
     def _linger(self, now: int, tx: Transaction, message: Message | None) -> None:
         wait = self.times.t4 if tx.kind is not Kind.SERVER else self.times.give_up
         if tx.kind is Kind.CLIENT_INVITE:
-            wait = self.times.give_up  # timer D is over 32 s
+            wait = self.times.give_up  # timer D is at least 32 s, 64 x T1 by default
         self._linger_for(now, tx, 0 if tx.reliable else wait)
 
     def _linger_long(self, now: int, tx: Transaction, message: Message | None) -> None:
@@ -408,41 +418,44 @@
 
     def _linger_for(self, now: int, tx: Transaction, wait: int) -> None:
         if wait == 0:
-            tx.state = S.TERMINATED
+            tx.state = State.TERMINATED
             return
-        tx.lingers = now + wait
-        self._arm(tx, tx.lingers, N.LINGER_DUE)
+        tx.linger_until = now + wait
+        self._start_timer(tx, tx.linger_until, Input.LINGER_DUE)
 
-    def _timed_out(self, now: int, tx: Transaction, message: Message | None) -> None:
+    def _report_timeout(self, now: int, tx: Transaction, message: Message | None) -> None:
         self.events.append(NoAnswer(tx, False))
 
-    def _failed(self, now: int, tx: Transaction, message: Message | None) -> None:
+    def _report_transport_failure(self, now: int, tx: Transaction, message: Message | None) -> None:
         self.events.append(NoAnswer(tx, True))
 
-    def _end(self, tx: Transaction) -> None:
-        tx.state = S.TERMINATED
-        table = self.clients if tx.kind in SENDS_FIRST else self.servers
+    def _terminate(self, tx: Transaction) -> None:
+        tx.state = State.TERMINATED
+        table = self.clients if tx.kind in CLIENT_KINDS else self.servers
         if table.get(tx.key) is tx:
             del table[tx.key]
         if tx.kind is Kind.SERVER_INVITE:
-            self._accepted.pop((tx.request.call_id, tx.request.from_tag, tx.request.cseq), None)
-        flow = self.by_flow.get(tx.flow)
-        if flow is not None:
-            flow.pop(tx.key, None)
-            if not flow:
+            self._awaiting_ack.pop((tx.request.call_id, tx.request.from_tag, tx.request.cseq), None)
+        on_flow = self.by_flow.get(tx.flow)
+        if on_flow is not None:
+            on_flow.pop(tx.key, None)
+            if not on_flow:
                 del self.by_flow[tx.flow]
-        tx.last, tx.request = b"", NOTHING  # its timers keep it in the heap for 64 x T1 yet
-
-
-DOERS: dict[Do, Callable[[Transactions, int, Transaction, Message | None], None]] = {
-    Do.TELL: Transactions._tell,
-    Do.RESEND: Transactions._resend,
-    Do.ACK: Transactions._ack,
-    Do.STOP_RESEND: Transactions._stop_resend,
-    Do.ARM_RESEND: Transactions._start_resend,
-    Do.ARM_GIVE_UP: Transactions._start_give_up,
-    Do.LINGER: Transactions._linger,
-    Do.LINGER_LONG: Transactions._linger_long,
-    Do.TIMED_OUT: Transactions._timed_out,
-    Do.FAILED: Transactions._failed,
+        tx.last_sent, tx.request = (
+            b"",
+            NO_REQUEST,
+        )  # frees memory: its timers stay up to 64 x T1 longer
+
+
+ACTION_HANDLERS: dict[Action, Callable[[Transactions, int, Transaction, Message | None], None]] = {
+    Action.REPORT_RESPONSE: Transactions._report_response,
+    Action.RETRANSMIT: Transactions._retransmit,
+    Action.SEND_ACK: Transactions._send_ack,
+    Action.STOP_RETRANSMITS: Transactions._stop_retransmits,
+    Action.START_RETRANSMITS: Transactions._start_retransmits,
+    Action.START_TIMEOUT: Transactions._start_timeout,
+    Action.LINGER: Transactions._linger,
+    Action.LINGER_LONG: Transactions._linger_long,
+    Action.REPORT_TIMEOUT: Transactions._report_timeout,
+    Action.REPORT_TRANSPORT_FAILURE: Transactions._report_transport_failure,
 }
--- a/tests/test_sip.py
+++ b/tests/test_sip.py
@@ -1,4 +1,4 @@
-"""Messages, parser and transactions against RFC 3261, with the malformed kinds that RFC 4475 lists."""
+"""Messages, parser and transactions by RFC 3261, with the kinds of malformed messages of RFC 4475."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from eiderstep.sip import fields
-from eiderstep.sip.message import Message, param, request, response, uri_parts
+from eiderstep.sip.message import Message, get_param, request, response, uri_parts
 from eiderstep.sip.parser import BadMessage, Limits, Parser, parse_datagram
 from eiderstep.sip.transaction import Answer, NewRequest, NoAnswer, State, Times, Transactions
 
@@ -24,7 +24,7 @@
     return GOOD.replace(old, new)
 
 
-# What it is, the bytes, the status, and whether the stream is lost with it.
+# Description, bytes, status, and whether the error is fatal to the stream.
 MALFORMED: list[tuple[str, bytes, int, bool]] = [
     ("no method", changed(b"INVITE sip:4712@x SIP/2.0", b"sip:4712@x SIP/2.0"), 400, True),
     ("spaces in the start line", changed(b"INVITE sip:", b"INVITE  sip:"), 400, True),
@@ -83,20 +83,25 @@
 ]
 
 
-@pytest.mark.parametrize(("what", "data", "status", "fatal"), MALFORMED, ids=[m[0] for m in MALFORMED])
-def test_malformed(what: str, data: bytes, status: int, fatal: bool) -> None:
+@pytest.mark.parametrize(("description", "data", "status", "fatal"), MALFORMED, ids=[m[0] for m in MALFORMED])
+def test_malformed_message_gives_its_status_and_is_fatal_only_without_framing(
+    description: str, data: bytes, status: int, fatal: bool
+) -> None:
     parser = Parser()
     items = parser.feed(data) + parser.feed(GOOD)
     first = items[0]
-    assert isinstance(first, BadMessage) and (first.status, first.fatal) == (status, fatal), (what, first)
+    assert isinstance(first, BadMessage) and (first.status, first.fatal) == (status, fatal), (
+        description,
+        first,
+    )
     assert first.text
-    # Where the framing is whole, the next message is read; where it is not, nothing is.
+    # The next message is read unless the error is fatal; after a fatal error nothing is read.
     good = [item for item in items if isinstance(item, Message)]
     assert len(good) == (0 if fatal else 1)
     assert bool(parser.feed(GOOD)) is not fatal
 
 
-def test_there_are_enough_kinds() -> None:
+def test_malformed_kinds_are_distinct_and_at_least_40() -> None:
     assert len({m[0] for m in MALFORMED}) == len(MALFORMED) >= 40
 
 
@@ -127,7 +132,7 @@
     assert parse_datagram(junk) is None or isinstance(parse_datagram(junk), Message | BadMessage)
 
 
-def test_a_message_written_and_read_is_the_same() -> None:
+def test_message_is_equal_after_encoding_and_parsing() -> None:
     message = Parser().feed(GOOD)[0]
     assert isinstance(message, Message) and message.body == b"body" and message.from_tag == "1"
     again = Parser().feed(message.encode())[0]
@@ -137,7 +142,9 @@
     folded = Parser().feed(changed(b"Contact: <sip:a@a>", b"m: <sip:a@a>\r\n ;x=1"))[0]
     assert isinstance(folded, Message) and folded.get("contact") == "<sip:a@a> ;x=1"
     no_length = parse_datagram(changed(b"Content-Length: 4\r\n", b""))
-    assert isinstance(no_length, Message) and no_length.body == b"body", "a datagram ends its body"
+    assert isinstance(no_length, Message) and no_length.body == b"body", (
+        "without Content-Length the body ends with the datagram"
+    )
     short = parse_datagram(changed(b"Length: 4", b"Length: 9"))
     assert isinstance(short, BadMessage) and short.status == 400
 
@@ -151,18 +158,18 @@
         ("x;tagged=1;tag=2", "tag", "2"), ("x", "tag", ""), ("x;TAG = 3", "tag", "3"),
     ],
 )  # fmt: skip
-def test_parameters(value: str, name: str, found: str) -> None:
-    assert param(value, name) == found
+def test_get_param_reads_values_flags_and_unusual_forms(value: str, name: str, found: str) -> None:
+    assert get_param(value, name) == found
 
 
-def test_uris() -> None:
+def test_uri_parts_splits_sip_uris_and_rejects_others() -> None:
     assert uri_parts("sip:12;tgrp=a@h:1;transport=tcp?x=y") == ("12;tgrp=a", "h:1", ";transport=tcp")
     for bad in ("tel:12", "12", "sip:", "sip:1@"):
         with pytest.raises(ValueError):
             uri_parts(bad)
 
 
-def test_load_reports_and_waits_travel() -> None:
+def test_load_reports_and_waits_survive_writing_and_reading() -> None:
     invite = Parser().feed(GOOD)[0]
     assert isinstance(invite, Message)
     for load in (fields.Load(reduce=0.4), fields.Load(rate=12.5, waiting=3.0), fields.Load()):
@@ -180,15 +187,15 @@
 # -- transactions --------------------------------------------------------------------------------------------
 
 
-def ask(method: str = "INVITE", branch: str = "z9hG4bKt") -> Message:
+def make_request(method: str = "INVITE", branch: str = "z9hG4bKt") -> Message:
     return request(
         method, "sip:1@x", via=f"SIP/2.0/UDP a;branch={branch}", sender="<sip:a@a>;tag=1", to="<sip:1@x>",
         call_id="c", cseq=1,
     )  # fmt: skip
 
 
-def resends(layer: Transactions, until: int) -> list[int]:
-    """The times (in T1) at which something goes out."""
+def retransmit_times(layer: Transactions, until: int) -> list[int]:
+    """The times, in units of T1, at which the layer sends something up to `until` (ns)."""
     times: list[int] = []
     layer.out.clear()
     while (due := layer.next_due()) is not None and due <= until:
@@ -207,32 +214,32 @@
         ("INVITE", False, [1, 3, 7, 15, 31, 63]),  # timer A
         ("INVITE", True, []),
         ("OPTIONS", False, [1, 3, 7, 15, 23, 31, 39, 47, 55, 63]),  # timer E, up to T2
-        ("OPTIONS", True, [1, 9, 17, 25, 33, 41, 49, 57]),  # at T2 once it is proceeding
+        ("OPTIONS", True, [1, 9, 17, 25, 33, 41, 49, 57]),  # every T2 in state Proceeding
     ],
 )
-def test_client_resends(method: str, provisional: bool, expected: list[int]) -> None:
+def test_client_retransmits_by_timers_a_and_e(method: str, provisional: bool, expected: list[int]) -> None:
     layer = Transactions()
-    tx = layer.send(0, 1, ask(method), reliable=False)
+    tx = layer.send(0, 1, make_request(method), reliable=False)
     if provisional:
         layer.receive(0, 1, response(tx.request, 100), False)
-    assert resends(layer, 64 * T1) == expected
+    assert retransmit_times(layer, 64 * T1) == expected
     timed_out = [e for e in layer.events if isinstance(e, NoAnswer)]
-    # An INVITE that is proceeding waits for as long as its user likes; all else ends at 64 x T1.
+    # An INVITE in state Proceeding has no timeout of its own; everything else times out after 64 x T1.
     assert len(timed_out) == (0 if method == "INVITE" and provisional else 1)
 
 
-def test_over_a_reliable_transport_nothing_is_resent_and_timers_b_and_f_hold() -> None:
+def test_reliable_transport_has_no_retransmits_but_timers_b_and_f() -> None:
     for method in ("INVITE", "OPTIONS"):
         layer = Transactions()
-        layer.send(0, 1, ask(method))
-        assert resends(layer, 64 * T1 - 1) == [] and not layer.events
+        layer.send(0, 1, make_request(method))
+        assert retransmit_times(layer, 64 * T1 - 1) == [] and not layer.events
         layer.due(64 * T1)
         assert [type(e) for e in layer.events] == [NoAnswer] and not layer.clients and not layer.by_flow
 
 
-def test_invite_client_acknowledges_failures_itself_and_again_in_timer_d() -> None:
+def test_invite_client_sends_ack_for_failure_and_for_its_repeat_during_timer_d() -> None:
     layer = Transactions()
-    tx = layer.send(0, 1, ask(), reliable=False)
+    tx = layer.send(0, 1, make_request(), reliable=False)
     layer.out.clear()
     busy = response(tx.request, 486, "far")
     for _ in range(2):
@@ -244,45 +251,47 @@
     assert tx.state is State.TERMINATED and not layer.clients
 
 
-def test_server_invite_resends_its_final_until_the_ack() -> None:
+def test_invite_server_retransmits_final_response_until_ack() -> None:
     for status, state in ((486, State.COMPLETED), (200, State.ACCEPTED)):
         layer = Transactions()
-        layer.receive(0, 1, ask(), False)
+        layer.receive(0, 1, make_request(), False)
         tx = layer.events.pop().tx  # type: ignore[union-attr]
         assert layer.respond(0, tx, response(tx.request, status, "t")) and tx.state is state
-        assert not layer.respond(0, tx, response(tx.request, 500, "t")), "one final answer"
+        assert not layer.respond(0, tx, response(tx.request, 500, "t")), "a second final response was sent"
         layer.out.clear()
-        layer.receive(1, 1, ask(), False)
-        assert len(layer.out) == 1 and not layer.events, "the INVITE again: the answer again"
-        assert resends(layer, 16 * T1) == [1, 3, 7, 15], "timer G"
-        ack = ask("ACK", "z9hG4bKt" if status > 299 else "z9hG4bKother")
+        layer.receive(1, 1, make_request(), False)
+        assert len(layer.out) == 1 and not layer.events, (
+            "a repeated INVITE must be answered with the same response and give no event"
+        )
+        assert retransmit_times(layer, 16 * T1) == [1, 3, 7, 15], "timer G must double up to T2"
+        ack = make_request("ACK", "z9hG4bKt" if status > 299 else "z9hG4bKother")
         ack.headers["cseq"] = ["1 ACK"]
         layer.receive(16 * T1, 1, ack, False)
-        assert tx.state is State.CONFIRMED and resends(layer, 60 * T1) == []
+        assert tx.state is State.CONFIRMED and retransmit_times(layer, 60 * T1) == []
         layer.due(300 * T1)
-        assert not layer.servers and not layer._accepted
+        assert not layer.servers and not layer._awaiting_ack
 
 
-def test_a_final_never_acknowledged_is_told_of_for_a_2xx() -> None:
-    for status, told in ((200, 1), (486, 0)):
+def test_missing_ack_is_reported_for_2xx_only() -> None:
+    for status, reports in ((200, 1), (486, 0)):
         layer = Transactions()
-        layer.receive(0, 1, ask())
+        layer.receive(0, 1, make_request())
         tx = layer.events.pop().tx  # type: ignore[union-attr]
         layer.respond(0, tx, response(tx.request, status, "t"))
         layer.due(64 * T1)
-        assert sum(isinstance(e, NoAnswer) for e in layer.events) == told and not layer.servers
+        assert sum(isinstance(e, NoAnswer) for e in layer.events) == reports and not layer.servers
 
 
-def test_a_broken_connection_fails_all_that_is_open_on_it_and_nothing_else() -> None:
+def test_lost_connection_fails_its_own_transactions_only() -> None:
     layer = Transactions()
-    mine = [layer.send(0, flow, ask(branch=f"z9hG4bK{flow}{i}")) for flow in (1, 2) for i in range(3)]
+    txs = [layer.send(0, flow, make_request(branch=f"z9hG4bK{flow}{i}")) for flow in (1, 2) for i in range(3)]
     layer.broken(5, 1)
-    assert [e.tx for e in layer.events if isinstance(e, NoAnswer)] == mine[:3] and set(layer.by_flow) == {2}
+    assert [e.tx for e in layer.events if isinstance(e, NoAnswer)] == txs[:3] and set(layer.by_flow) == {2}
 
 
-def test_a_branch_without_the_cookie_is_told_apart_by_the_dialog() -> None:
+def test_requests_without_magic_cookie_are_matched_by_dialog() -> None:
     layer = Transactions()
-    first, second = ask(branch="1"), ask(branch="1")
+    first, second = make_request(branch="1"), make_request(branch="1")
     second.headers["call-id"] = ["other"]
     for message in (first, first, second):
         layer.receive(0, 1, message)
