--- a/eiderstep/config/load.py
+++ b/eiderstep/config/load.py
@@ -167,36 +167,42 @@
         ) from None
 
 
-def _field_type(kind: Any, path: str) -> Any:
+def _field_type(field_type: Any, path: str) -> Any:
     """The annotated type at a path through structs and lists; None if the path leads anywhere else."""
     for name, index in re.findall(r"\.([A-Za-z_]\w*)|\[(\d+|\.\.\.)\]", path):
-        info = msgspec.inspect.type_info(kind) if not isinstance(kind, msgspec.inspect.Type) else kind
+        info = (
+            msgspec.inspect.type_info(field_type)
+            if not isinstance(field_type, msgspec.inspect.Type)
+            else field_type
+        )
         while isinstance(info, msgspec.inspect.Metadata):
             info = info.type
         if isinstance(info, msgspec.inspect.UnionType):
             info = next((t for t in info.types if isinstance(t, msgspec.inspect.StructType)), info)
         if index and isinstance(info, msgspec.inspect.ListType):
-            kind = info.item_type
+            field_type = info.item_type
         elif name and isinstance(info, msgspec.inspect.StructType):
-            kind = next((f.type for f in info.fields if f.name == name), None)
+            field_type = next((f.type for f in info.fields if f.name == name), None)
         else:
             return None
-        if kind is None:
+        if field_type is None:
             return None
-    return kind if isinstance(kind, msgspec.inspect.Type) else msgspec.inspect.type_info(kind)
+    return (
+        field_type if isinstance(field_type, msgspec.inspect.Type) else msgspec.inspect.type_info(field_type)
+    )
 
 
-def _allowed_fields(kind: Any, path: str) -> list[str]:
+def _allowed_fields(field_type: Any, path: str) -> list[str]:
     """The field names of the struct at a path, none if it is not a struct."""
-    info = _field_type(kind, path)
+    info = _field_type(field_type, path)
     while isinstance(info, msgspec.inspect.Metadata):
         info = info.type
     return [f.name for f in info.fields] if isinstance(info, msgspec.inspect.StructType) else []
 
 
-def _field_description(kind: Any, path: str) -> str:
+def _field_description(field_type: Any, path: str) -> str:
     """The description of the values allowed at a path; empty if the schema has none."""
-    info = _field_type(kind, path)
+    info = _field_type(field_type, path)
     if isinstance(info, msgspec.inspect.Metadata) and info.extra_json_schema:
         return str(info.extra_json_schema.get("description", ""))
     return ""
@@ -221,10 +227,7 @@
         for name in ("ca", "cert", "key", "crl") if tls is not None else ():
             file = getattr(tls, name, "")
             if file and not Path(file).is_file():
-                field, description = (
-                    f"{section}.{name}",
-                    f"found {file!r}, which is not a file; allowed: a PEM file",
-                )
+                field, description = f"{section}.{name}", f"found {file!r}, not a file; allowed: a PEM file"
                 raise ConfigError(str(path), locate(text, f"$.{field}"), field, description)
     return settings
 
--- a/eiderstep/sip/fields.py
+++ b/eiderstep/sip/fields.py
@@ -13,7 +13,7 @@
 MS = 1_000_000
 
 CLASS, PATIENCE, PAUSE = "eiderstep-class", "eiderstep-patience", "eiderstep-pause"
-MARKS, ADVICE, WAITING = "eiderstep-marks", "eiderstep-advice", "eiderstep-waiting"
+MARKS, ADVICE, WAITING_HEADER = "eiderstep-marks", "eiderstep-advice", "eiderstep-waiting"
 CIRCUITS = "eiderstep-circuits"
 MAX_CIRCUITS = 1024  # of one set-up
 OWN = "Eiderstep"  # protocol token in Reason for causes that Q.850 does not have
@@ -65,7 +65,7 @@
     elif load.rate is not None:
         message.headers["via"] = [f'{top};oc={load.rate:g};oc-algo="rate"', *rest]
     if load.waiting is not None:
-        message.set(WAITING, f"{load.waiting:g}")
+        message.set(WAITING_HEADER, f"{load.waiting:g}")
 
 
 def read_load(message: Message) -> Load:
@@ -78,7 +78,7 @@
             rate = value
         elif value is not None and value <= 100:
             share = value / 100
-    return Load(share, rate, parse_decimal(message.get(WAITING)))
+    return Load(share, rate, parse_decimal(message.get(WAITING_HEADER)))
 
 
 def parse_decimal(text: str) -> float | None:
--- a/eiderstep/sip/message.py
+++ b/eiderstep/sip/message.py
@@ -170,9 +170,8 @@
 
     `tag` is added to a To without a tag, except in a 100.
     """
-    headers: dict[
-        str, list[str]
-    ] = {  # shares the lists of values with the request: replace them, never change them in place
+    # The lists of values are shared with the request: replace them, never change them in place.
+    headers: dict[str, list[str]] = {
         name: request_message.headers[name]
         for name in ("via", "from", "to", "call-id", "cseq")
         if name in request_message.headers
