--- a/eiderstep/server/__init__.py
+++ b/eiderstep/server/__init__.py
@@ -1,1 +1,1 @@
-"""The running call server: asyncio protocol classes around the engine.  No decision is made here."""
+"""The running call server: asyncio protocols, TLS and timers around the engine.  Makes no decisions."""
--- a/eiderstep/server/doors.py
+++ b/eiderstep/server/doors.py
@@ -1,6 +1,6 @@
-"""The connections of a call server: who is let in, dialled, slowed, shown the door.
+"""The connections of a call server: admission, dialling, read throttling, TLS authentication and closing.
 
-What is decided about a connection is decided in `trust/`; here it is carried out.
+The policy is in `eiderstep.trust`; this module applies it to sockets.
 """
 
 from __future__ import annotations
@@ -14,25 +14,25 @@
 
 from eiderstep.config.schema import ServerSettings
 from eiderstep.engine.core import Engine
-from eiderstep.server.wire import DatagramWire, StreamWire, Trace
+from eiderstep.server.wire import DatagramSocket, StreamConnection, Trace
 from eiderstep.sip.message import Message, split_address
 from eiderstep.sip.parser import BadMessage, Limits
-from eiderstep.trust.limits import Limiter, Verdict
+from eiderstep.trust.limits import SourceLimiter, Verdict
 from eiderstep.trust.pace import Thinner
-from eiderstep.trust.party import Party, identity
-from eiderstep.trust.proof import KeysError, Proof, fault, warning
+from eiderstep.trust.party import Party, exchange_identity
+from eiderstep.trust.proof import CertificateInfo, KeysError, certificate_error, expiry_warning
 
 if TYPE_CHECKING:
     from eiderstep.server.tls import Keys
 
 SECOND = 1_000_000_000
-REDIAL_CAP = 8  # times the first pause between two dials
+MAX_BACKOFF_FACTOR = 8  # longest pause between two dials, as a multiple of the first one
 
 Logger = Callable[[str, str, str, dict[str, Any]], None]
 
 
-class Doors:
-    """Connections of one call server.  `log` gets level, event, call id and fields."""
+class ConnectionManager:
+    """Connections of one call server.  `log` receives the level, event, call id and fields of each line."""
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, settings: ServerSettings, log: Logger, trace: Trace | None,
@@ -43,459 +43,511 @@
         limits = settings.limits
         self.limits = Limits(limits.line, limits.head, limits.headers, limits.body)
         self.rng = Random(settings.seed ^ 0xD1A1)
-        self.wires: dict[int, StreamWire] = {}
-        self.knocking: dict[int, StreamWire] = {}  # whose handshake is not over
-        self.shaking: deque[tuple[StreamWire, bytes]] = deque()  # handshakes' bytes that wait for their turn
-        self.inbound: dict[int, float] = {}  # flows that have said nothing yet, and when they came
-        self.limiter = Limiter(limits.source, limits.connections)
-        self.thinner = Thinner()
-        self.slowed: set[int] = set()  # flows that are not read for a while
-        self.proofs: dict[int, Proof] = {}  # by flow
-        self.retired: set[int] = set()  # links that another one has replaced
-        self.keys: Keys | None = None
-        self.secure: Any = None  # the listener for TLS
-        self.secure_address = ""
-        self.dials: dict[str, asyncio.Task[None]] = {}
-        self.pauses: dict[str, float] = {}  # before the next dial of an address (s); none: at once
-        self.up_since: dict[str, float] = {}  # links that we dialled
-        self.datagrams: DatagramWire | None = None
+        self.connections: dict[int, StreamConnection] = {}
+        self.handshaking: dict[int, StreamConnection] = {}  # TLS handshake in progress
+        self.handshake_queue: deque[tuple[StreamConnection, bytes]] = deque()
+        self.silent_since: dict[int, float] = {}  # flow without a message: since when (s)
+        self.limiter = SourceLimiter(limits.source, limits.connections)
+        self.log_limiter = Thinner()
+        self.read_paused: set[int] = set()  # flows whose socket is temporarily not read
+        self.peer_certificates: dict[int, CertificateInfo] = {}  # by flow; authenticated TLS connections only
+        self.replaced_flows: set[int] = set()  # flows of dialled links that a newer link has replaced
+        self.credentials: Keys | None = None
+        self.tls_listener: Any = None
+        self.tls_address = ""
+        self.dial_tasks: dict[str, asyncio.Task[None]] = {}
+        self.dial_backoffs: dict[str, float] = {}  # pause before the next dial of an address (s)
+        self.link_up_since: dict[str, float] = {}  # dialled links, loop time (s)
+        self.datagram_socket: DatagramSocket | None = None
         self.datagram_flows: dict[tuple[str, int], int] = {}
         self.datagram_peers: dict[int, tuple[str, int]] = {}
-        self.flows = 0
-        self.clock = 0
-        self.server: Any = None
+        self.last_flow = 0
+        self.last_now = 0
+        self.listener: Any = None
         self.address = ""
         self.engine: Engine | None = None
         self.ended = False
         self.stopped: asyncio.Future[None] = loop.create_future()
 
     def now(self) -> int:
-        """Integer nanoseconds of the loop's clock; it never goes back, not by a rounding either."""
-        self.clock = max(int(self.loop.time() * SECOND), self.clock)
-        return self.clock
+        """The loop's clock in integer nanoseconds; monotonic, also across the rounding from float seconds."""
+        self.last_now = max(int(self.loop.time() * SECOND), self.last_now)
+        return self.last_now
 
     def _flush(self) -> None:
         raise NotImplementedError
 
-    def _waited(self, now: int) -> int:
+    def _read_delay(self, now: int) -> int:
         raise NotImplementedError
 
     async def _listen(self) -> None:
-        """Plain and, where there are keys, with TLS.  Raises OSError, and KeysError for keys of no use."""
+        """Open the plain listener and, where the settings have keys, the TLS listener.
+
+        Raises OSError where an address cannot be bound, KeysError where the keys cannot be used.
+        """
         host, port = split_address(self.settings.listen)
-        self.server = await self.loop.create_server(self._accept, host, port, backlog=1024)
-        name = self.server.sockets[0].getsockname()
+        self.listener = await self.loop.create_server(self._accept, host, port, backlog=1024)
+        name = self.listener.sockets[0].getsockname()
         self.address = f"{name[0]}:{name[1]}"
         tls = self.settings.trust.tls
         if tls is not None:
-            from eiderstep.server.tls import Keys  # needs the extra `keys`
+            from eiderstep.server.tls import Keys  # requires the optional dependencies `keys`
 
-            self.keys = Keys(tls)
-            self._own_key()
+            self.credentials = Keys(tls)
+            self._warn_own_expiry()
             host, port = split_address(tls.listen)
-            self.secure = await self.loop.create_server(self._accept_secure, host, port, backlog=1024)
-            name = self.secure.sockets[0].getsockname()
-            self.secure_address = f"{name[0]}:{name[1]}"
-            self.loop.call_later(tls.look / SECOND, self._look)
-
-    def _shut(self, abort: bool) -> None:
-        self.server.close()
-        if self.secure is not None:
-            self.secure.close()
-        for task in self.dials.values():
+            self.tls_listener = await self.loop.create_server(self._accept_tls, host, port, backlog=1024)
+            name = self.tls_listener.sockets[0].getsockname()
+            self.tls_address = f"{name[0]}:{name[1]}"
+            self.loop.call_later(tls.look / SECOND, self._check_credentials)
+
+    def _close_all(self, abort: bool) -> None:
+        self.listener.close()
+        if self.tls_listener is not None:
+            self.tls_listener.close()
+        for task in self.dial_tasks.values():
             task.cancel()
-        for wire in list(self.knocking.values()):
-            wire.abort()
-        for wire in list(self.wires.values()):
-            wire.abort() if abort else wire.close()
-        if self.datagrams is not None and self.datagrams.transport is not None:
-            self.datagrams.transport.close()
+        for connection in list(self.handshaking.values()):
+            connection.abort()
+        for connection in list(self.connections.values()):
+            connection.abort() if abort else connection.close()
+        if self.datagram_socket is not None and self.datagram_socket.transport is not None:
+            self.datagram_socket.transport.close()
 
-    # -- who comes -----------------------------------------------------------------------------------------
+    # -- inbound connections -------------------------------------------------------------------------------
 
-    def _accept(self) -> StreamWire:
-        self.flows += 1
-        return StreamWire(self, self.flows)
+    def _accept(self) -> StreamConnection:
+        self.last_flow += 1
+        return StreamConnection(self, self.last_flow)
 
-    def _accept_secure(self) -> StreamWire:
+    def _accept_tls(self) -> StreamConnection:
         from eiderstep.server.tls import Tls
 
-        assert self.keys is not None
-        self.flows += 1
-        return StreamWire(self, self.flows, tls=Tls(self.keys.server, True))
+        assert self.credentials is not None
+        self.last_flow += 1
+        return StreamConnection(self, self.last_flow, tls=Tls(self.credentials.server_context, True))
 
-    def knocked(self, wire: StreamWire) -> bool:
-        """A connection that has to prove itself first.  Whether it may try."""
+    def handshake_started(self, connection: StreamConnection) -> bool:
+        """Register a TLS connection before its handshake; returns whether the handshake may begin."""
         if self.engine is None:
             return False
-        if not wire.dialled:
-            # Until it has proven more it draws on its address's share.
-            host, book = wire.host_name, self.engine.book
-            named = book.expects(host)
-            known = named or book.at(host).known
-            why = self.limiter.connect(self.now(), wire.flow, host, named, known, handshake=True)
+        if not connection.dialled:
+            # Until the peer is authenticated, the connection counts against the limits of its IP address.
+            host, book = connection.peer_host, self.engine.book
+            named = book.is_exchange_address(host)
+            known = named or book.by_address(host).known
+            why = self.limiter.admit_connection(
+                self.now(), connection.flow, host, named, known, handshake=True
+            )
             if why:
-                self._say("warning", why, host, {"peer": wire.peer})
+                self._log_limited("warning", why, host, {"peer": connection.peer})
                 return False
-        self.knocking[wire.flow] = wire
-        self.inbound[wire.flow] = self.loop.time()
+        self.handshaking[connection.flow] = connection
+        self.silent_since[connection.flow] = self.loop.time()
         return True
 
-    def shake(self, wire: StreamWire, data: bytes) -> None:
-        """Bytes of a handshake.
+    def handshake_received(self, connection: StreamConnection, data: bytes) -> None:
+        """Queue the bytes of a handshake; one queue entry is processed in each turn of the event loop.
 
-        Danger: sixty peers that come back at once are a fifth of a second of work, in which no call is looked
-        at.  So they are taken one by one, and what else has come is read between two of them.  Hurts the
-        last of those peers, which stands as late as before, and nobody else.
+        Sixty peers that reconnect at once need a fifth of a second of handshake work.  Processed in one turn,
+        it would hold up all calls; with one entry a turn, other sockets are read in between.  The last of
+        these peers is connected as late as without the queue.
         """
-        self.shaking.append((wire, data))
-        if len(self.shaking) == 1:
-            self.loop.call_soon(self._shake)
+        self.handshake_queue.append((connection, data))
+        if len(self.handshake_queue) == 1:
+            self.loop.call_soon(self._process_next_handshake)
 
-    def _shake(self) -> None:
-        wire, data = self.shaking[0]
+    def _process_next_handshake(self) -> None:
+        connection, data = self.handshake_queue[0]
         try:
-            wire.shaken(data)
+            connection.process_handshake(data)
         finally:
-            self.shaking.popleft()
-            if self.shaking:
-                self.loop.call_soon(self._shake)
+            self.handshake_queue.popleft()
+            if self.handshake_queue:
+                self.loop.call_soon(self._process_next_handshake)
 
-    def opened(self, wire: StreamWire) -> None:
-        """A connection stands; over TLS, both ends have shown a key of our CA."""
+    def connection_ready(self, connection: StreamConnection) -> None:
+        """A plain connection is established, or a TLS handshake is complete with certificates of our CA."""
         engine = self.engine
-        self.knocking.pop(wire.flow, None)
+        self.handshaking.pop(connection.flow, None)
         if engine is None:
-            wire.abort()
+            connection.abort()
             return
-        if wire.tls is not None:
-            who = self._proven(wire)
-            if who is None:
+        if connection.tls is not None:
+            party = self._authenticate(connection)
+            if party is None:
                 return
         else:
-            who = engine.at_link(wire.dialled) if wire.dialled else engine.book.at(wire.host_name)
-        if not wire.dialled:
-            source = who.source
-            self.limiter.closed(wire.flow)  # the handshake was its address's; from here on it is its own
-            why = self.limiter.connect(self.now(), wire.flow, source, bool(who.exchanges), who.known)
+            party = (
+                engine.at_link(connection.dialled)
+                if connection.dialled
+                else engine.book.by_address(connection.peer_host)
+            )
+        if not connection.dialled:
+            source = party.source
+            # The handshake counted against the IP address; the connection now counts against `source`.
+            self.limiter.connection_closed(connection.flow)
+            why = self.limiter.admit_connection(
+                self.now(), connection.flow, source, bool(party.exchanges), party.known
+            )
             if why:
-                self._say("warning", why, source, {"peer": wire.peer})
-                wire.refused = True
-                wire.abort()
+                self._log_limited("warning", why, source, {"peer": connection.peer})
+                connection.rejected = True
+                connection.abort()
                 return
-            self.inbound.pop(wire.flow, None)
-            self.inbound[wire.flow] = self.loop.time()
+            self.silent_since.pop(connection.flow, None)
+            self.silent_since[connection.flow] = self.loop.time()
         else:
-            self.inbound.pop(wire.flow, None)
-        self.wires[wire.flow] = wire
-        assert wire.transport is not None
-        wire.transport.set_write_buffer_limits(high=self.settings.limits.unsent // 4)
-        engine.meet(wire.flow, who)
-
-    def _proven(self, wire: StreamWire) -> Party | None:
-        """Who the far end is by its key; None where that is of no use, and the connection goes."""
-        assert wire.tls is not None and self.engine is not None and self.keys is not None
+            self.silent_since.pop(connection.flow, None)
+        self.connections[connection.flow] = connection
+        assert connection.transport is not None
+        connection.transport.set_write_buffer_limits(high=self.settings.limits.unsent // 4)
+        engine.meet(connection.flow, party)
+
+    def _authenticate(self, connection: StreamConnection) -> Party | None:
+        """The peer that the certificate identifies; None where it is not accepted (closes the connection)."""
+        assert connection.tls is not None and self.engine is not None and self.credentials is not None
         tls, book = self.settings.trust.tls, self.engine.book
         assert tls is not None
-        proof = wire.tls.proof()
-        why = fault(proof, self.epoch() / 1000, self.keys.revoked, tls.slack / SECOND)
-        who = book.by_key(proof.names, wire.host_name)
-        if not why and wire.dialled:
-            number = self.engine.offices.get(wire.dialled, -1)
-            if number not in who.exchanges:
-                wanted = identity(self.settings, number)
-                why = f"proves {', '.join(proof.names)}; allowed at this address: {wanted}"
-        elif not why and not who.known:
-            why = f"proves {', '.join(proof.names)}, which the settings do not name"
+        certificate = connection.tls.peer_certificate()
+        why = certificate_error(
+            certificate, self.epoch() / 1000, self.credentials.revocation_list, tls.slack / SECOND
+        )
+        party = book.by_identity(certificate.names, connection.peer_host)
+        if not why and connection.dialled:
+            number = self.engine.offices.get(connection.dialled, -1)
+            if number not in party.exchanges:
+                wanted = exchange_identity(self.settings, number)
+                why = f"found identity {', '.join(certificate.names)}; allowed at this address: {wanted}"
+        elif not why and not party.known:
+            why = f"found identity {', '.join(certificate.names)}, which the settings do not name"
         if why:
-            self.unproven(wire, why)
+            self.authentication_failed(connection, why)
             return None
-        self.proofs[wire.flow] = proof
-        return who
-
-    def unproven(self, wire: StreamWire, why: str) -> None:
-        """A handshake came to nothing, or what was proven does not count."""
-        self.knocking.pop(wire.flow, None)
-        fields = {"peer": wire.peer, "dialled": bool(wire.dialled), "why": why}
-        self._say("warning", "not proven", wire.host_name, fields)
-        wire.refused = True
-        wire.abort()
-
-    def closed(self, wire: StreamWire) -> None:
-        self.knocking.pop(wire.flow, None)
-        self.inbound.pop(wire.flow, None)
-        self.proofs.pop(wire.flow, None)
-        if wire.dialled and wire.tls is not None and self.keys is not None:
-            self.keys.remember(wire.dialled, wire.tls)
-        self.limiter.closed(wire.flow)
-        self.slowed.discard(wire.flow)
-        if wire.dialled and wire.flow not in self.retired:
-            self._link_closed(wire.dialled)
-        self.retired.discard(wire.flow)
-        if self.wires.pop(wire.flow, None) is None or self.engine is None:
+        self.peer_certificates[connection.flow] = certificate
+        return party
+
+    def authentication_failed(self, connection: StreamConnection, why: str) -> None:
+        """A TLS handshake failed or timed out, or the peer's certificate is not accepted: abort."""
+        self.handshaking.pop(connection.flow, None)
+        fields = {"peer": connection.peer, "dialled": bool(connection.dialled), "why": why}
+        self._log_limited("warning", "peer not authenticated", connection.peer_host, fields)
+        connection.rejected = True
+        connection.abort()
+
+    def connection_closed(self, connection: StreamConnection) -> None:
+        """A connection is closed: forget its state, and tell the engine if the connection had been ready."""
+        self.handshaking.pop(connection.flow, None)
+        self.silent_since.pop(connection.flow, None)
+        self.peer_certificates.pop(connection.flow, None)
+        if connection.dialled and connection.tls is not None and self.credentials is not None:
+            self.credentials.save_session(connection.dialled, connection.tls)
+        self.limiter.connection_closed(connection.flow)
+        self.read_paused.discard(connection.flow)
+        if connection.dialled and connection.flow not in self.replaced_flows:
+            self._link_closed(connection.dialled)
+        self.replaced_flows.discard(connection.flow)
+        if self.connections.pop(connection.flow, None) is None or self.engine is None:
             return
-        self.engine.flow_lost(self.now(), wire.flow)
+        self.engine.flow_lost(self.now(), connection.flow)
         self._flush()
 
-    # -- what comes ----------------------------------------------------------------------------------------
+    # -- received messages ---------------------------------------------------------------------------------
 
     def came(self, flow: int, items: list[Message | BadMessage], reliable: bool) -> None:
-        """Messages of one segment: one moment for the engine and one batch for the module."""
+        """Process the messages of one segment: all with the same time, as one batch for the module."""
         if self.engine is None:
             return
         engine, limiter = self.engine, self.limiter
-        if self.inbound.pop(flow, None) is not None:
-            limiter.spoke(flow)
+        if self.silent_since.pop(flow, None) is not None:
+            limiter.mark_active(flow)
         now = self.now()
-        engine.waited = self._waited(now)
+        engine.waited = self._read_delay(now)
         slow = False
         for item in items:
-            verdict = limiter.message(now, flow)
+            verdict = limiter.check_message(now, flow)
             if isinstance(item, BadMessage) or not engine.who(flow).known:
-                if limiter.fault(now, flow, flow in engine.on_flow) is Verdict.CLOSE:
-                    self._cut_off(flow)
+                if limiter.record_fault(now, flow, flow in engine.on_flow) is Verdict.CLOSE:
+                    self._close_for_faults(flow)
                     return
             if verdict is Verdict.TAKE:
                 engine.message(now, flow, item, reliable)
                 continue
             slow = slow or verdict is Verdict.SLOW
-            engine.over_rate(now, flow, item, reliable, limiter.come_back(flow))
+            engine.over_rate(now, flow, item, reliable, limiter.retry_after(flow))
         if slow:
-            self._slow_down(flow)
+            self._pause_reading(flow)
         self._flush()
 
-    def _slow_down(self, flow: int) -> None:
-        """Read no more from a connection until its source is back at its rate: TCP then holds the sender."""
-        wire = self.wires.get(flow)
-        if wire is None or wire.transport is None or flow in self.slowed:
+    def _pause_reading(self, flow: int) -> None:
+        """Pause reading a connection until its source is within its rate; TCP flow control slows the peer."""
+        connection = self.connections.get(flow)
+        if connection is None or connection.transport is None or flow in self.read_paused:
             return
-        self.slowed.add(flow)
-        wire.transport.pause_reading()
-        self._say("warning", "source slowed", wire.host_name, {"peer": wire.peer})
-        self.loop.call_later(self.limiter.wait(flow) / SECOND, self._read_on, flow)
-
-    def _read_on(self, flow: int) -> None:
-        wire = self.wires.get(flow)
-        if flow in self.slowed and wire is not None and wire.transport is not None:
-            self.slowed.discard(flow)
-            if not wire.transport.is_closing():
-                wire.transport.resume_reading()
-
-    def _cut_off(self, flow: int) -> None:
-        wire = self.wires.get(flow)
-        if wire is not None:
-            self._say("warning", "source closed for its faults", wire.host_name, {"peer": wire.peer})
-            wire.abort()
+        self.read_paused.add(flow)
+        connection.transport.pause_reading()
+        self._log_limited("warning", "source slowed", connection.peer_host, {"peer": connection.peer})
+        self.loop.call_later(self.limiter.read_pause(flow) / SECOND, self._resume_reading, flow)
+
+    def _resume_reading(self, flow: int) -> None:
+        connection = self.connections.get(flow)
+        if flow in self.read_paused and connection is not None and connection.transport is not None:
+            self.read_paused.discard(flow)
+            if not connection.transport.is_closing():
+                connection.transport.resume_reading()
+
+    def _close_for_faults(self, flow: int) -> None:
+        connection = self.connections.get(flow)
+        if connection is not None:
+            self._log_limited(
+                "warning",
+                "connection closed for repeated faults",
+                connection.peer_host,
+                {"peer": connection.peer},
+            )
+            connection.abort()
         self._flush()
 
-    def _say(self, level: str, event: str, source: str, fields: dict[str, Any]) -> None:
-        """A log line that others can provoke: at a bounded rate for each source."""
-        held = self.thinner.line(self.now(), (event, source))
-        if held >= 0:
-            self.log(level, event, "", fields | ({"held_back": held} if held else {}))
+    def _log_limited(self, level: str, event: str, source: str, fields: dict[str, Any]) -> None:
+        """Write a log line that a remote end can provoke, at a limited rate for each event and source."""
+        suppressed = self.log_limiter.line(self.now(), (event, source))
+        if suppressed >= 0:
+            self.log(level, event, "", fields | ({"held_back": suppressed} if suppressed else {}))
 
-    def _sweep(self) -> None:
-        """Inbound connections that never say a whole message are closed; so half-open ones cost little.
+    def _close_idle(self) -> None:
+        """Close inbound connections without a complete message in time, which limits the cost of idle ones.
 
-        Danger: the link of an exchange that has no call for us yet says nothing either; closed, it is dialled
-        anew for ever, and a set-up that crosses the closing is lost.  So those of exchanges stay.  Hurts
-        where an exchange opens links without end: `limits.connections` bounds that.
+        Links of exchanges stay open.  An exchange without a call for us sends nothing; if its link were
+        closed, it would redial without end, and a set-up sent during the closing would be lost.  The number
+        of links that an exchange opens is bounded by `limits.connections`.
         """
         now, limits = self.loop.time(), self.settings.limits
-        oldest = now - limits.first_message / SECOND
+        first_message_cutoff = now - limits.first_message / SECOND
         tls = self.settings.trust.tls
-        oldest_knock = now - (tls.handshake / SECOND if tls is not None else 0.0)
-        for flow, wire in list(self.knocking.items()):
-            if self.inbound.get(flow, 0.0) <= oldest_knock:
-                self.unproven(wire, "its handshake did not end")
-        for flow, since in list(self.inbound.items()):
-            if since > oldest:
-                break  # they stand in the order in which they came
-            if flow in self.wires:
-                del self.inbound[flow]
+        handshake_cutoff = now - (tls.handshake / SECOND if tls is not None else 0.0)
+        for flow, connection in list(self.handshaking.items()):
+            if self.silent_since.get(flow, 0.0) <= handshake_cutoff:
+                self.authentication_failed(connection, "handshake timed out")
+        for flow, since in list(self.silent_since.items()):
+            if since > first_message_cutoff:
+                break  # insertion order: all later ones are younger
+            if flow in self.connections:
+                del self.silent_since[flow]
                 if self.engine is not None and self.engine.who(flow).exchanges:
                     continue
-                wire = self.wires[flow]
-                self._say("info", "idle connection closed", wire.host_name, {"peer": wire.peer})
-                wire.close()
-        for wire in list(self.wires.values()):
-            if 0 < wire.begun < oldest:
-                self._say("info", "unfinished message", wire.host_name, {"peer": wire.peer})
-                wire.abort()
+                connection = self.connections[flow]
+                self._log_limited(
+                    "info", "idle connection closed", connection.peer_host, {"peer": connection.peer}
+                )
+                connection.close()
+        for connection in list(self.connections.values()):
+            if 0 < connection.partial_since < first_message_cutoff:
+                self._log_limited(
+                    "info",
+                    "connection closed with incomplete message",
+                    connection.peer_host,
+                    {"peer": connection.peer},
+                )
+                connection.abort()
         if not self.stopped.done() and self.engine is not None:
             first = min(limits.first_message, tls.handshake) if tls is not None else limits.first_message
-            self.loop.call_later(first / SECOND / 4, self._sweep)
+            self.loop.call_later(first / SECOND / 4, self._close_idle)
 
-    # -- keys ----------------------------------------------------------------------------------------------
+    # -- credentials and certificates ----------------------------------------------------------------------
 
-    def _look(self) -> None:
-        """Files that changed are read, proofs are judged again."""
-        if self.ended or self.engine is None or self.keys is None:
+    def _check_credentials(self) -> None:
+        """Reload changed key files and recheck the certificates of open connections; runs periodically."""
+        if self.ended or self.engine is None or self.credentials is None:
             return
-        if self.keys.changed():
-            self.rekey()
+        if self.credentials.files_changed():
+            self.reload_credentials()
         else:
-            self._judge()
-        self.loop.call_later(self.keys.tls.look / SECOND, self._look)
+            self._recheck_certificates()
+        self.loop.call_later(self.credentials.tls.look / SECOND, self._check_credentials)
 
-    def rekey(self) -> None:
-        """Read keys and revocations anew; links that we dialled are made anew with them.
+    def reload_credentials(self) -> None:
+        """Reload keys and revocation list, and dial all TLS links again if our certificate has changed.
 
-        No call is cut: the new link stands beside the old one, and what stands there stays until it ends.
+        No call is cut: the new link is opened beside the old one, which stays open until its last call ends.
         """
-        if self.keys is None or self.engine is None:
+        if self.credentials is None or self.engine is None:
             return
-        before = self.keys.own.serial
+        before = self.credentials.own_certificate.serial
         try:
-            self.keys.load()
+            self.credentials.load()
         except KeysError as problem:
-            self._say("error", "keys not read", "", {"why": str(problem)})
-        self._judge()
-        if self.keys.own.serial != before:
-            self.log("info", "keys read", "", {"serial": f"{self.keys.own.serial:x}"})
-            self._renew()
-
-    def _own_key(self) -> None:
-        assert self.keys is not None
+            self._log_limited("error", "keys could not be read", "", {"why": str(problem)})
+        self._recheck_certificates()
+        if self.credentials.own_certificate.serial != before:
+            self.log("info", "keys read", "", {"serial": f"{self.credentials.own_certificate.serial:x}"})
+            self._redial_all()
+
+    def _warn_own_expiry(self) -> None:
+        assert self.credentials is not None
         now = self.epoch() / 1000
-        said = warning(self.keys.own, now)
+        said = expiry_warning(self.credentials.own_certificate, now)
         if said:
-            self._say("warning", "own certificate", "", {"certificate": self.keys.tls.cert, "it": said})
-        if self.keys.revoked.until and self.keys.revoked.until < now:
-            self._say("warning", "revocation list is old", "", {"file": self.keys.tls.crl})
-
-    def _judge(self) -> None:
-        """Look at every proof again.
-
-        Danger: who holds a stolen key goes on over the connection it has.  One that is revoked, or has ended,
-        is closed at once, and its calls are cut with it: after that nothing that comes over it can be
-        believed, not even a release.  Hurts a peer that did not renew in time: warnings come a quarter ahead.
+            self._log_limited(
+                "warning",
+                "own certificate needs renewal",
+                "",
+                {"certificate": self.credentials.tls.cert, "it": said},
+            )
+        if (
+            self.credentials.revocation_list.next_update
+            and self.credentials.revocation_list.next_update < now
+        ):
+            self._log_limited(
+                "warning", "revocation list is out of date", "", {"file": self.credentials.tls.crl}
+            )
+
+    def _recheck_certificates(self) -> None:
+        """Check the certificates of all open connections again, and abort those no longer accepted.
+
+        Without this check, the holder of a stolen key could go on using a connection that it has open.  When
+        a certificate is revoked or has expired, its connection is closed and the calls on it are cut, since
+        no message on it can be trusted any longer, not even a release.  A peer that does not renew in time
+        loses its calls; its own log warns from the last quarter of the certificate's life on.
         """
-        assert self.keys is not None
-        now, slack = self.epoch() / 1000, self.keys.tls.slack / SECOND
-        for flow, proof in list(self.proofs.items()):
-            why = fault(proof, now, self.keys.revoked, slack)
-            wire = self.wires.get(flow)
-            if why and wire is not None:
-                del self.proofs[flow]
-                said = {"peer": wire.peer, "names": proof.names, "why": why}
-                self.log("warning", "no longer proven", "", said)
-                wire.abort()
-        self._own_key()
-        self._renew_old(now)
-        self._leave_retired()
-
-    def _renew_old(self, now: float) -> None:
-        """Links whose far end shows a certificate that ends soon are dialled anew: it may have another."""
+        assert self.credentials is not None
+        now, slack = self.epoch() / 1000, self.credentials.tls.slack / SECOND
+        for flow, certificate in list(self.peer_certificates.items()):
+            why = certificate_error(certificate, now, self.credentials.revocation_list, slack)
+            connection = self.connections.get(flow)
+            if why and connection is not None:
+                del self.peer_certificates[flow]
+                said = {"peer": connection.peer, "names": certificate.names, "why": why}
+                self.log("warning", "peer certificate no longer accepted", "", said)
+                connection.abort()
+        self._warn_own_expiry()
+        self._redial_expiring(now)
+        self._close_replaced()
+
+    def _redial_expiring(self, now: float) -> None:
+        """Dial links again whose peer certificate expires soon: the peer may have a newer one by now."""
         assert self.engine is not None
         for address, flow in self.engine.links.items():
-            proof = self.proofs.get(flow)
-            since = self.up_since.get(address, 0.0)
-            if proof is not None and proof.ends - now < (proof.ends - proof.begins) / 8:
-                if self.loop.time() - since > (proof.ends - proof.begins) / 32:
-                    self._again(address)
-
-    def _renew(self) -> None:
+            certificate = self.peer_certificates.get(flow)
+            since = self.link_up_since.get(address, 0.0)
+            if (
+                certificate is not None
+                and certificate.not_after - now < (certificate.not_after - certificate.not_before) / 8
+            ):
+                if self.loop.time() - since > (certificate.not_after - certificate.not_before) / 32:
+                    self._redial(address)
+
+    def _redial_all(self) -> None:
         assert self.engine is not None
         for address, flow in list(self.engine.links.items()):
-            if flow in self.proofs:
-                self._again(address)
+            if flow in self.peer_certificates:
+                self._redial(address)
 
-    def _again(self, address: str) -> None:
-        if address not in self.dials and not self.ended:
-            self.dials[address] = self.loop.create_task(self._keep(address))
+    def _redial(self, address: str) -> None:
+        if address not in self.dial_tasks and not self.ended:
+            self.dial_tasks[address] = self.loop.create_task(self._dial_until_connected(address))
 
-    def _leave_retired(self) -> None:
-        """Close replaced links once nothing stands on them and nothing is open."""
+    def _close_replaced(self) -> None:
+        """Close replaced links that have no calls and no open transactions left."""
         engine = self.engine
         assert engine is not None
-        for flow in list(self.retired):
-            wire = self.wires.get(flow)
-            if wire is not None and not (flow in engine.on_flow or flow in engine.transactions.by_flow):
-                wire.close()
+        for flow in list(self.replaced_flows):
+            connection = self.connections.get(flow)
+            if connection is not None and not (flow in engine.on_flow or flow in engine.transactions.by_flow):
+                connection.close()
 
-    # -- links that we dial --------------------------------------------------------------------------------
+    # -- dialled links -------------------------------------------------------------------------------------
 
-    def _to_be_proven(self, address: str) -> bool:
-        """Whether the link to an address is over TLS."""
-        if self.keys is None or self.engine is None or address == self.settings.lines:
+    def _uses_tls(self, address: str) -> bool:
+        """Whether links to this address use TLS: not to our own lines, nor to peers set to `plain`."""
+        if self.credentials is None or self.engine is None or address == self.settings.lines:
             return False
         number = self.engine.offices.get(address, -1)
         return not any(p.plain for p in self.settings.peers if p.number == number)
 
-    async def _keep(self, address: str) -> None:
-        """Dial an address until it answers, with growing pauses; again once the link is lost."""
+    async def _dial_until_connected(self, address: str) -> None:
+        """Dial an address until a link is established, with exponential backoff."""
         while True:
-            if address in self.pauses:
-                await asyncio.sleep(self.pauses[address] * (1 + self.rng.random() / 4))
-            self.flows += 1
-            flow = self.flows
-            # Danger: a far end that accepts and resets at once is lost before this task runs on; taken for a
-            # link, it swallows every set-up sent on it.
-            if not await self._dial(address, flow) or flow not in self.wires:
-                self._shaky(address)
+            if address in self.dial_backoffs:
+                await asyncio.sleep(self.dial_backoffs[address] * (1 + self.rng.random() / 4))
+            self.last_flow += 1
+            flow = self.last_flow
+            # A connection that the far end accepts and resets at once is already closed when this task
+            # resumes.  Without the check it would be used as a link, and all set-ups on it would be lost.
+            if not await self._dial_once(address, flow) or flow not in self.connections:
+                self._increase_backoff(address)
                 continue
-            self.up_since[address] = self.loop.time()
+            self.link_up_since[address] = self.loop.time()
             if self.engine is not None:
                 old = self.engine.links.get(address)
                 if old is not None:
-                    self.retired.add(old)
+                    self.replaced_flows.add(old)
                 self.engine.link_up(self.now(), address, flow)
                 self._flush()
-            if self.dials.get(address) is asyncio.current_task():
-                del self.dials[address]
+            if self.dial_tasks.get(address) is asyncio.current_task():
+                del self.dial_tasks[address]
             return
 
-    async def _dial(self, address: str, flow: int) -> bool:
-        """One try.  Whether it stands, both ends proven where that is wanted."""
+    async def _dial_once(self, address: str, flow: int) -> bool:
+        """Dial an address once; returns whether it is connected, with the TLS handshake done where used."""
         host, port = split_address(address)
         limit = self.settings.limits.dial / SECOND
-        make = partial(StreamWire, self, flow, address)
-        if self._to_be_proven(address):
+        factory = partial(StreamConnection, self, flow, address)
+        if self._uses_tls(address):
             from eiderstep.server.tls import Tls
 
-            assert self.keys is not None
-            session = self.keys.sessions.get(address)
-            make = partial(StreamWire, self, flow, address, Tls(self.keys.client, False, session))
+            assert self.credentials is not None
+            session = self.credentials.sessions.get(address)
+            factory = partial(
+                StreamConnection, self, flow, address, Tls(self.credentials.client, False, session)
+            )
         try:
-            made = self.loop.create_connection(make, host, port, **self._from(host))
-            _, wire = await asyncio.wait_for(made, limit)
-            if wire.tls is not None:
+            dial = self.loop.create_connection(factory, host, port, **self._local_address(host))
+            _, connection = await asyncio.wait_for(dial, limit)
+            if connection.tls is not None:
                 tls = self.settings.trust.tls
                 assert tls is not None
-                await asyncio.wait_for(asyncio.shield(wire.ready), tls.handshake / SECOND)
-        except OSError:  # and so TimeoutError
-            if flow in self.knocking:
-                self.knocking[flow].abort()
+                await asyncio.wait_for(asyncio.shield(connection.ready), tls.handshake / SECOND)
+        except OSError:  # includes TimeoutError
+            if flow in self.handshaking:
+                self.handshaking[flow].abort()
             return False
         return True
 
-    def _from(self, host: str) -> dict[str, Any]:
-        """From which address we dial: the one at which we listen, by which plain peers know us."""
-        here = split_address(self.settings.listen)[0]
-        loopback = here.startswith("127.") or here == "::1"
-        if here in ("0.0.0.0", "::") or (loopback and not host.startswith("127.")) or ":" in here + host:
+    def _local_address(self, host: str) -> dict[str, Any]:
+        """Arguments of create_connection that set the source address to the one at which we listen.
+
+        On plain links, peers identify us by this address.  Empty where the listen address is unspecified or
+        IPv6, or is a loopback address and `host` is not.
+        """
+        listen_host = split_address(self.settings.listen)[0]
+        loopback = listen_host.startswith("127.") or listen_host == "::1"
+        if (
+            listen_host in ("0.0.0.0", "::")
+            or (loopback and not host.startswith("127."))
+            or ":" in listen_host + host
+        ):
             return {}
-        return {"local_addr": (here, 0)}
+        return {"local_addr": (listen_host, 0)}
 
-    def _shaky(self, address: str) -> None:
-        """A dial failed, or a link did not last: the pause before the next one grows."""
+    def _increase_backoff(self, address: str) -> None:
+        """Double the pause before the next dial, after a failed dial or a link that was lost early."""
         first = self.settings.limits.redial / SECOND
-        before = self.pauses.get(address)
-        self.pauses[address] = first if before is None else min(2 * before, REDIAL_CAP * first)
+        before = self.dial_backoffs.get(address)
+        self.dial_backoffs[address] = first if before is None else min(2 * before, MAX_BACKOFF_FACTOR * first)
 
     def _link_closed(self, address: str) -> None:
-        """Danger: a far end that accepts and resets a little later, as a proxy does whose exchange is dead,
-        would be dialled without a pause, hundreds of times a second from each server.  So only a link that
-        has lasted wipes the pauses out.  Hurts where a sound link breaks twice within a few seconds: the
-        second time it is dialled after a pause.
+        """Reset the backoff of an address after a link that lasted; increase it after one that did not.
+
+        A far end that accepts and resets a little later, such as a proxy whose exchange is down, would
+        otherwise be dialled without a pause, hundreds of times a second from each server.  The cost: a sound
+        link that breaks twice within a few seconds is dialled only after a pause the second time.
         """
-        since = self.up_since.pop(address, None)
+        since = self.link_up_since.pop(address, None)
         if since is not None:
-            if self.loop.time() - since < REDIAL_CAP * self.settings.limits.redial / SECOND:
-                self._shaky(address)
+            if self.loop.time() - since < MAX_BACKOFF_FACTOR * self.settings.limits.redial / SECOND:
+                self._increase_backoff(address)
             else:
-                self.pauses.pop(address, None)
+                self.dial_backoffs.pop(address, None)
 
     # -- datagrams -----------------------------------------------------------------------------------------
 
@@ -503,19 +555,19 @@
         flow = self.datagram_flows.get(address)
         if flow is None:
             if len(self.datagram_flows) >= self.settings.limits.connections:
-                self._forget_datagrams()
-            self.flows += 1
-            flow = self.datagram_flows[address] = self.flows
+                self._evict_datagram_flows()
+            self.last_flow += 1
+            flow = self.datagram_flows[address] = self.last_flow
             self.datagram_peers[flow] = address
             if self.engine is not None:
                 self.engine.unreliable.add(flow)
-                self.engine.meet(flow, self.engine.book.at(address[0]))
+                self.engine.meet(flow, self.engine.book.by_address(address[0]))
         return flow
 
-    def _forget_datagrams(self) -> None:
-        """Danger: each address that a datagram claims to come from would be remembered for ever.
+    def _evict_datagram_flows(self) -> None:
+        """Remove the older half of the datagram flows that have no calls and no open transactions.
 
-        Half of them go, the oldest on which nothing is open and nothing stands.
+        Source addresses of datagrams can be forged, so without eviction the tables would grow without bound.
         """
         engine = self.engine
         idle = [
--- a/eiderstep/server/lists.py
+++ b/eiderstep/server/lists.py
@@ -1,4 +1,4 @@
-"""Where a call server has its list of exchanges from: the register, a registry, or one behind the other."""
+"""The source of a call server's list of exchanges: register, registry, or one with the other as fallback."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 from eiderstep.server.wire import Trace
 
 SECOND = 1_000_000_000
-News = list[tuple[io.ListKind, tuple[io.OfficeEntry, ...]]]
+ListUpdates = list[tuple[io.ListKind, tuple[io.OfficeEntry, ...]]]
 
 
-class Follower(Protocol):
-    """What the lists need of the call server."""
+class ListHost(Protocol):
+    """The part of the call server that `ExchangeLists` uses."""
 
     loop: asyncio.AbstractEventLoop
     settings: ServerSettings
@@ -32,85 +32,85 @@
     epoch: Callable[[], int]
 
     def now(self) -> int: ...
-    def news(self, told: News) -> None: ...
+    def list_changed(self, updates: ListUpdates) -> None: ...
 
 
-class Lists:
-    """Follows what the settings name, and keeps our own entry."""
+class ExchangeLists:
+    """Clients of the register and the registry named in the settings, and our own entry in the registry."""
 
-    def __init__(self, server: Follower) -> None:
+    def __init__(self, server: ListHost) -> None:
         self.server, settings = server, server.settings
         self.register: RegisterClient | None = None
         self.registry: RegistryClient | None = None
         self.registrant: Registrant | None = None
-        both = settings.register is not None and settings.registry is not None
-        self.choice = Choice(settings.list_from, settings.fallback_after) if both else None
-        self.choice_timer: asyncio.TimerHandle | None = None
+        two_sources = settings.register is not None and settings.registry is not None
+        self.choice = Choice(settings.list_from, settings.fallback_after) if two_sources else None
+        self.fallback_timer: asyncio.TimerHandle | None = None
 
-    def follow(self) -> None:
-        """Follow from now on."""
+    def start(self) -> None:
+        """Start the clients that the settings name."""
         server, settings = self.server, self.server.settings
         if settings.register is not None:
             self.register = RegisterClient(
-                server.loop, settings.register, partial(self._news, "register"), self._note, server.rng,
-                server.trace,
+                server.loop, settings.register, partial(self._update_received, "register"), self._log_warning,
+                server.rng, server.trace,
             )  # fmt: skip
             self.register.start()
         if settings.registry is not None:
             self.registry = RegistryClient(
-                server.loop, settings.registry, partial(self._news, "registry"), self._note,
+                server.loop, settings.registry, partial(self._update_received, "registry"), self._log_warning,
                 Random(settings.seed ^ 0xE0EA), settings.named(), server.trace,
             )  # fmt: skip
             self.registry.start()
             if settings.registry.lease is not None:
                 self.registrant = Registrant(
-                    server.loop, settings.registry, server.address, settings.number, self._note,
+                    server.loop, settings.registry, server.address, settings.number, self._log_warning,
                     Random(settings.seed ^ 0x1EA5E), server.epoch,
                 )  # fmt: skip
                 self.registrant.start()
 
-    def unfollow(self) -> None:
-        """News are of no use any more."""
+    def stop(self) -> None:
+        """Stop the clients; the registrant is stopped by the call server."""
         if self.register is not None:
             self.register.stop()
         if self.registry is not None:
             self.registry.stop()
-        if self.choice_timer is not None:
-            self.choice_timer.cancel()
+        if self.fallback_timer is not None:
+            self.fallback_timer.cancel()
 
-    def ask(self) -> None:
-        """The module asks to be told."""
+    def request_update(self) -> None:
+        """Request a list, as the module has asked for one."""
         if self.register is not None:
-            self.register.ask()
+            self.register.request_list()
         if self.registry is not None:
             self.registry.ask()
 
-    def _news(self, source: str, kind: io.ListKind, entries: tuple[io.OfficeEntry, ...]) -> None:
+    def _update_received(self, source: str, kind: io.ListKind, entries: tuple[io.OfficeEntry, ...]) -> None:
         if self.choice is None:
-            self.server.news([(kind, entries)])
+            self.server.list_changed([(kind, entries)])
             return
-        was = self.choice.on_fallback
-        self.server.news(self.choice.heard(self.server.now(), source, kind, entries))
-        self._chosen(was)
+        was_on_fallback = self.choice.on_fallback
+        self.server.list_changed(self.choice.heard(self.server.now(), source, kind, entries))
+        self._after_update(was_on_fallback)
 
-    def _chosen(self, was: bool) -> None:
-        """Log a change of the list in force, and wake when the fallback is due."""
+    def _after_update(self, was_on_fallback: bool) -> None:
+        """Log a change of the active list, and set the timer for switching to the fallback."""
         choice = self.choice
         assert choice is not None
-        if choice.on_fallback != was:
-            self._note("list of exchanges changes", {"fallback": choice.on_fallback})
-        if self.choice_timer is not None:
-            self.choice_timer.cancel()
-            self.choice_timer = None
+        if choice.on_fallback != was_on_fallback:
+            self._log_warning("active list of exchanges changed", {"fallback": choice.on_fallback})
+        if self.fallback_timer is not None:
+            self.fallback_timer.cancel()
+            self.fallback_timer = None
         due = choice.next_due()
         if due is not None:
-            self.choice_timer = self.server.loop.call_at(due / SECOND + 0.001, self._choice_due)
+            self.fallback_timer = self.server.loop.call_at(due / SECOND + 0.001, self._fallback_due)
 
-    def _choice_due(self) -> None:
+    def _fallback_due(self) -> None:
         assert self.choice is not None
-        was = self.choice.on_fallback
-        self.server.news(self.choice.due(self.server.now()))
-        self._chosen(was)
+        was_on_fallback = self.choice.on_fallback
+        self.server.list_changed(self.choice.due(self.server.now()))
+        self._after_update(was_on_fallback)
 
-    def _note(self, event: str, fields: dict[str, Any]) -> None:
+    def _log_warning(self, event: str, fields: dict[str, Any]) -> None:
         self.server.log("warning", event, "", fields)
--- a/eiderstep/server/process.py
+++ b/eiderstep/server/process.py
@@ -1,4 +1,4 @@
-"""The process around one call server: its loop, its signals, its log, its capture file."""
+"""The process around one call server: event loop, signals, log and capture file."""
 
 from __future__ import annotations
 
@@ -21,32 +21,35 @@
 
 
 class CaptureFile:
-    """Writes each chunk as a JSON line, which `eiderstep.audit` reads.  Buffered: it is no journal."""
+    """Writes each traced chunk as a JSON line, which `eiderstep.audit` reads.
+
+    Writes are buffered, so a crash loses the last lines.
+    """
 
     def __init__(self, path: Path, node: str) -> None:
-        self.sink = path.open("wb", buffering=1 << 20)
-        self.node, self.encode = node, msgspec.json.Encoder().encode
+        self.file = path.open("wb", buffering=1 << 20)
+        self.node_name, self.encode = node, msgspec.json.Encoder().encode
 
     def __call__(self, time: int, label: str, peer: str, way: str, data: bytes) -> None:
-        row = (time, self.node, label, peer, way, data.decode("latin-1"))
-        self.sink.write(self.encode(row) + b"\n")
+        row = (time, self.node_name, label, peer, way, data.decode("latin-1"))
+        self.file.write(self.encode(row) + b"\n")
 
     def close(self) -> None:
-        self.sink.close()
+        self.file.close()
 
 
 def serve(
     settings: ServerSettings, log: Logger, capture: Path | None, verbose: bool,
-    reread: Callable[[], ServerSettings],
+    read_settings: Callable[[], ServerSettings],
 ) -> None:  # fmt: skip
-    """Serve until SIGTERM or SIGINT, then stop in order; a second signal ends the wait.
+    """Serve until SIGTERM or SIGINT, then stop gracefully; a second signal ends the drain at once.
 
-    SIGHUP: settings are read anew, and trunk groups take the sizes that they name.
+    On SIGHUP the settings are read again for the sizes of trunk groups, and keys are reloaded.
     """
     trace = CaptureFile(capture, settings.name) if capture is not None else None
 
     async def run() -> None:
-        await _serve(settings, log, trace, verbose, reread)
+        await _serve(settings, log, trace, verbose, read_settings)
 
     try:
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
@@ -58,36 +61,36 @@
 
 async def _serve(
     settings: ServerSettings, log: Logger, trace: Trace | None, verbose: bool,
-    reread: Callable[[], ServerSettings],
+    read_settings: Callable[[], ServerSettings],
 ) -> None:  # fmt: skip
     loop = asyncio.get_running_loop()
     server = CallServer(loop, settings, log, trace, lambda: int(time.time() * 1000), ids=SystemRandom())
-    early = False
+    stop_requested = False
 
-    def asked() -> None:
-        """The first signal asks for an orderly stop, one more ends its wait; one may come while it starts."""
-        nonlocal early
+    def on_stop_signal() -> None:
+        """Stop gracefully at the first signal, at once at the second; during the start, only note it."""
+        nonlocal stop_requested
         if server.engine is None:
-            early = True
+            stop_requested = True
         elif server.engine.stopping:
-            server.end()
+            server.finish_stop()
         else:
             server.stop()
 
-    def reload() -> None:
+    def on_reload_signal() -> None:
         try:
-            server.resize(reread())
-            server.rekey()
+            server.resize(read_settings())
+            server.reload_credentials()
         except ConfigError as problem:
-            log("error", "settings not read", "", {"why": str(problem)})
+            log("error", "settings could not be read", "", {"why": str(problem)})
 
-    loop.add_signal_handler(signal.SIGHUP, reload)
+    loop.add_signal_handler(signal.SIGHUP, on_reload_signal)
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, asked)
+        loop.add_signal_handler(number, on_stop_signal)
     await server.start()
     assert server.engine is not None
     server.engine.verbose = verbose
     settle_collector()
-    if early:
+    if stop_requested:
         server.stop()
     await server.stopped
--- a/eiderstep/server/register.py
+++ b/eiderstep/server/register.py
@@ -1,8 +1,8 @@
-"""The register's client: the list of exchanges as server-sent events over HTTP, parsed by httptools.
+"""The client of the register: the list of exchanges as server-sent events over HTTP, parsed by httptools.
 
-Each event's data is a JSON object `{"gen", "kind", "entries"}` (docs/protocol.md).  The first after a
-connection is the whole list.  It keeps asking, with a pause that doubles and is jittered; while the register
-is silent what was last told stays in force.
+The data of each event is a JSON object `{"gen", "kind", "entries"}` (docs/protocol.md).  The first event of a
+connection is a full snapshot, later ones are deltas.  A lost connection is retried with jittered exponential
+backoff; until then the last list received stays in use.
 """
 
 from __future__ import annotations
@@ -21,18 +21,18 @@
 from eiderstep.sip.message import split_address
 
 SECOND = 1_000_000_000
-PAUSE_CAP = 8.0  # times the first pause
-EVENT_LIMIT = 1 << 22  # bytes of one event
-LAST_NUMBER = 65535  # of an exchange
+MAX_BACKOFF_FACTOR = 8.0  # longest pause between connections, as a multiple of the first one
+MAX_EVENT_BYTES = 1 << 22
+MAX_EXCHANGE_NUMBER = 65535
 STATES = {"up": io.OfficeState.UP, "draining": io.OfficeState.DRAINING, "gone": io.OfficeState.GONE}
 KINDS = {"complete": io.ListKind.COMPLETE, "changes": io.ListKind.CHANGES}
 
-News = Callable[[io.ListKind, tuple[io.OfficeEntry, ...]], None]
-Note = Callable[[str, dict[str, Any]], None]
+ListHandler = Callable[[io.ListKind, tuple[io.OfficeEntry, ...]], None]
+NoteHandler = Callable[[str, dict[str, Any]], None]
 
 
 class Row(msgspec.Struct):
-    """One exchange, as the register tells it; `age` is how long it has run (s), None for long."""
+    """One exchange in an event of the register; `age`: time since its start (s), None for long ago."""
 
     office: str
     number: int
@@ -50,43 +50,48 @@
 
 
 def entry(row: Row, now: int) -> io.OfficeEntry | None:
-    """A row in the module's terms; None for one that cannot be used."""
+    """Convert a row of the register to an OfficeEntry; None for a row that cannot be used."""
     state = STATES.get(row.state)
     try:
         split_address(row.office)
     except ValueError:
         return None
-    # Danger: JSON has 1e999, which is no length of time; the error would end the stream's callback for good.
-    # Found by fuzzing.  Hurts nobody: an exchange that has run for longer than our clock is an old one.
-    if state is None or not 0 <= row.number <= LAST_NUMBER or (row.age is not None and row.age != row.age):
+    # `age` may be infinite (JSON allows 1e999); int() of it would raise in the stream's callback and end the
+    # stream for good, hence the check against `now`.  An exchange older than our clock started long ago.
+    if (
+        state is None
+        or not 0 <= row.number <= MAX_EXCHANGE_NUMBER
+        or (row.age is not None and row.age != row.age)
+    ):
         return None
-    young = row.age is not None and 0 <= row.age * SECOND < now
-    started = max(now - int((row.age or 0.0) * SECOND), 1) if young else 0
+    started_recently = row.age is not None and 0 <= row.age * SECOND < now
+    started = max(now - int((row.age or 0.0) * SECOND), 1) if started_recently else 0
     return io.OfficeEntry(row.office, row.number, state, started, row.zone)
 
 
 class EventStream:
-    """Bytes of a response body in, events out (the WHATWG's event-stream format, fields `data` alone)."""
+    """Incremental parser of the WHATWG event-stream format; fields other than `data` are ignored."""
 
     def __init__(self) -> None:
-        self.rest = b""
+        self.partial_line = b""
         self.data: list[bytes] = []
 
     def feed(self, chunk: bytes) -> list[bytes]:
-        lines = (self.rest + chunk).split(b"\n")
-        self.rest = lines.pop()
-        found: list[bytes] = []
-        for whole in lines:
-            line = whole.rstrip(b"\r")
+        """The data of each event that this chunk completes.  Raises ValueError for too long an event."""
+        lines = (self.partial_line + chunk).split(b"\n")
+        self.partial_line = lines.pop()
+        events: list[bytes] = []
+        for raw_line in lines:
+            line = raw_line.rstrip(b"\r")
             if not line:
                 if self.data:
-                    found.append(b"\n".join(self.data))
+                    events.append(b"\n".join(self.data))
                     self.data = []
             elif line.startswith(b"data:"):
                 self.data.append(line[5:].lstrip(b" "))
-        if len(self.rest) + sum(map(len, self.data)) > EVENT_LIMIT:
-            raise ValueError(f"an event of over {EVENT_LIMIT} bytes")
-        return found
+        if len(self.partial_line) + sum(map(len, self.data)) > MAX_EVENT_BYTES:
+            raise ValueError(f"event exceeds {MAX_EVENT_BYTES} bytes")
+        return events
 
 
 class _Stream(asyncio.Protocol):
@@ -97,110 +102,117 @@
         self.parser = httptools.HttpResponseParser(self)
         self.stream = EventStream()
         self.transport: asyncio.Transport | None = None
-        self.over = client.loop.create_future()
+        self.ended = client.loop.create_future()
 
     def connection_made(self, transport: Any) -> None:
         self.transport = transport
         settings = self.client.settings
-        ask = f"GET {settings.path} HTTP/1.1\r\nHost: {settings.address}\r\nAccept: text/event-stream\r\n\r\n"
-        transport.write(ask.encode())
+        request = (
+            f"GET {settings.path} HTTP/1.1\r\nHost: {settings.address}\r\nAccept: text/event-stream\r\n\r\n"
+        )
+        transport.write(request.encode())
 
     def data_received(self, data: bytes) -> None:
         client = self.client
-        client.heard_at = client.loop.time()
+        client.last_received = client.loop.time()
         if client.trace is not None:
             client.trace(client.now(), "register", client.settings.address, "in", data)
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, ValueError, msgspec.MsgspecError) as problem:
-            self.fail(
-                f"not understood: {problem.__context__ or problem}"
-            )  # httptools wraps what a callback raises
+            # httptools wraps exceptions of its callbacks.
+            self.fail(f"malformed stream: {problem.__context__ or problem}")
 
     def on_headers_complete(self) -> None:
         if self.parser.get_status_code() != 200:
-            self.fail(f"status {self.parser.get_status_code()}")
+            self.fail(f"found HTTP status {self.parser.get_status_code()}; allowed: 200")
 
     def on_body(self, body: bytes) -> None:
         for event in self.stream.feed(body):
-            self.client.take(msgspec.json.decode(event, type=Event))
+            self.client.handle_event(msgspec.json.decode(event, type=Event))
 
     def on_message_complete(self) -> None:
         self.fail("the stream ended")
 
     def fail(self, why: str) -> None:
-        if not self.over.done():
-            self.over.set_result(why)
+        if not self.ended.done():
+            self.ended.set_result(why)
         if self.transport is not None:
             self.transport.close()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        if not self.over.done():
-            self.over.set_result("the connection was lost")
+        if not self.ended.done():
+            self.ended.set_result("the connection was lost")
 
 
 class RegisterClient:
-    """Follows the register for as long as it runs."""
+    """Keeps a stream from the register open and reconnects when it is lost, until stopped.
+
+    `on_list` receives each list or change, `on_note` log events with their fields.
+    """
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, settings: Register, news: News, note: Note, rng: Random,
-        trace: Trace | None = None,
+        self, loop: asyncio.AbstractEventLoop, settings: Register, on_list: ListHandler, on_note: NoteHandler,
+        rng: Random, trace: Trace | None = None,
     ) -> None:  # fmt: skip
-        self.loop, self.settings, self.news, self.note, self.rng = loop, settings, news, note, rng
+        self.loop, self.settings, self.on_list, self.on_note, self.rng = loop, settings, on_list, on_note, rng
         self.trace = trace
-        self.heard_at = 0.0
+        self.last_received = 0.0
         self.gen = -1
-        self.wanted = asyncio.Event()
+        self.requested = asyncio.Event()
         self.task: asyncio.Task[None] | None = None
-        self.fresh = False
+        self.list_received = False
 
     def now(self) -> int:
         return int(self.loop.time() * SECOND)
 
     def start(self) -> None:
-        """Follow from now on; where the register tells on request only, wait to be asked."""
+        """Start the client; with `on_request`, it connects only after `request_list`."""
         if not self.settings.on_request:
-            self.wanted.set()
+            self.requested.set()
         self.task = self.loop.create_task(self._run())
 
-    def ask(self) -> None:
-        """The module wants to be told."""
-        self.wanted.set()
+    def request_list(self) -> None:
+        """Request a list; only has an effect with `on_request`."""
+        self.requested.set()
 
     def stop(self) -> None:
         if self.task is not None:
             self.task.cancel()
 
-    def take(self, event: Event) -> None:
-        """One event; a gap in the numbers means that the list held is not the register's any more."""
+    def handle_event(self, event: Event) -> None:
+        """Process one event.  Raises ValueError for an unknown kind or a gap in the change numbers.
+
+        After a gap the list held here differs from the register's, and the connection is opened anew.
+        """
         kind = KINDS.get(event.kind)
         if kind is None:
-            raise ValueError(f"kind {event.kind!r}; allowed: complete, changes")
+            raise ValueError(f"found kind {event.kind!r}; allowed: complete, changes")
         if kind is io.ListKind.CHANGES and event.gen != self.gen + 1:
-            raise ValueError(f"change {event.gen} after {self.gen}")
-        self.gen, self.fresh = event.gen, True
+            raise ValueError(f"change {event.gen} after {self.gen}; expected {self.gen + 1}")
+        self.gen, self.list_received = event.gen, True
         now = self.now()
         entries = tuple(e for row in event.entries if (e := entry(row, now)) is not None)
         if len(entries) < len(event.entries):
-            self.note("register names what cannot be used", {"rows": len(event.entries) - len(entries)})
-        self.news(kind, entries)
+            self.on_note("register sent unusable entries", {"rows": len(event.entries) - len(entries)})
+        self.on_list(kind, entries)
 
     async def _run(self) -> None:
         pause = first = self.settings.retry / SECOND
         while True:
-            await self.wanted.wait()
-            self.fresh = False
-            why = await self._follow()
-            self.note("register lost", {"why": why})
-            self.news(io.ListKind.FAILED, ())
+            await self.requested.wait()
+            self.list_received = False
+            why = await self._stream_once()
+            self.on_note("connection to register lost", {"why": why})
+            self.on_list(io.ListKind.FAILED, ())
             if self.settings.on_request:
-                self.wanted.clear()
+                self.requested.clear()
                 continue
-            pause = first if self.fresh else min(2 * pause, PAUSE_CAP * first)
+            pause = first if self.list_received else min(2 * pause, MAX_BACKOFF_FACTOR * first)
             await asyncio.sleep(pause * (1 + self.rng.random() / 2))
 
-    async def _follow(self) -> str:
-        """One connection, from its dial to its end; returns why it ended."""
+    async def _stream_once(self) -> str:
+        """Connect once and receive events until the connection ends; returns the reason."""
         host, port = split_address(self.settings.address, 80)
         silence = self.settings.silence / SECOND
         try:
@@ -209,11 +221,11 @@
             )
         except (TimeoutError, OSError) as problem:
             return f"not reached: {problem or 'no answer'}"
-        self.heard_at = self.loop.time()
-        while not stream.over.done():
-            left = self.heard_at + silence - self.loop.time()
-            if left <= 0:
+        self.last_received = self.loop.time()
+        while not stream.ended.done():
+            remaining = self.last_received + silence - self.loop.time()
+            if remaining <= 0:
                 stream.fail(f"silent for {silence:g} s")
                 break
-            await asyncio.wait([stream.over], timeout=left)
-        return str(stream.over.result())
+            await asyncio.wait([stream.ended], timeout=remaining)
+        return str(stream.ended.result())
--- a/eiderstep/server/tls.py
+++ b/eiderstep/server/tls.py
@@ -1,7 +1,7 @@
-"""TLS 1.2 and 1.3 without I/O: bytes of a connection in, plain bytes out, on any loop, real or virtual.
+"""TLS 1.2 and 1.3 without I/O: encrypted bytes in, plain bytes out, on real and virtual event loops.
 
-Both ends prove themselves.  The chain and the key are checked by OpenSSL; names, times and revocation by
-`trust/proof.py`, on a resumed session as on a new one, and again while the connection stands.
+Authentication is mutual.  OpenSSL checks the certificate chain and the key.  Names, validity and revocation
+are checked by `trust/proof.py`, for new and resumed sessions, and again while the connection is open.
 """
 
 from __future__ import annotations
@@ -11,18 +11,20 @@
 from pathlib import Path
 
 from eiderstep.config.schema import SipTls
-from eiderstep.trust.authority import check_private, read_certificate, read_list
-from eiderstep.trust.proof import KeysError, Proof, Revoked, sip_names
+from eiderstep.trust.authority import check_key_permissions, read_certificate, read_crl
+from eiderstep.trust.proof import CertificateInfo, KeysError, RevocationList, sip_names
 
-NO_CHECK_TIME = 0x200000  # X509_V_FLAG_NO_CHECK_TIME, which the ssl module does not name
-PIECE = 65536
-HANDSHAKE = 65536  # bytes of a handshake that never gets done: a chain of certificates is a few KB
+NO_CHECK_TIME = 0x200000  # X509_V_FLAG_NO_CHECK_TIME, which the ssl module does not export
+READ_SIZE = 65536
+MAX_HANDSHAKE_BYTES = 65536  # received before the handshake is done; a certificate chain has a few KB
 
 
 class Tls:
-    """One connection.  `done`: both ends are proven; `failed`: why it came to nothing."""
+    """One TLS connection.  `done`: the handshake is complete; `failure`: the reason of an error, or empty."""
 
-    __slots__ = ("_in", "_object", "_out", "closed", "context", "done", "failed", "server_side", "taken")
+    __slots__ = (
+        "_in", "_object", "_out", "closed", "context", "done", "failure", "handshake_bytes", "server_side",
+    )  # fmt: skip
 
     def __init__(
         self, context: ssl.SSLContext, server_side: bool, session: ssl.SSLSession | None = None
@@ -32,62 +34,62 @@
         self._object = context.wrap_bio(self._in, self._out, server_side=server_side, session=session)
         self.server_side = server_side
         self.done = self.closed = False
-        self.failed = ""
-        self.taken = 0
+        self.failure = ""
+        self.handshake_bytes = 0
 
     def start(self) -> bytes:
-        """What is to be sent at the beginning."""
+        """Start the handshake; returns the bytes to send first."""
         self._handshake()
         return self._out.read()
 
     def feed(self, data: bytes) -> bytes:
-        """Bytes that came; returns the plain ones.  `wanted()` may have something to send after it."""
-        if self.failed:
+        """Process received bytes; returns the decrypted ones.  `wanted()` may then have bytes to send."""
+        if self.failure:
             return b""
         self._in.write(data)
         if not self.done:
-            self.taken += len(data)
-            if self.taken > HANDSHAKE:
-                self.failed = f"a handshake of over {HANDSHAKE} bytes"
+            self.handshake_bytes += len(data)
+            if self.handshake_bytes > MAX_HANDSHAKE_BYTES:
+                self.failure = f"handshake exceeds {MAX_HANDSHAKE_BYTES} bytes"
                 return b""
             self._handshake()
         if not self.done:
             return b""
         parts: list[bytes] = []
         try:
-            while part := self._object.read(PIECE):
+            while part := self._object.read(READ_SIZE):
                 parts.append(part)
-            self.closed = True  # an orderly end: close_notify
+            self.closed = True  # read() returned nothing: close_notify received
         except ssl.SSLWantReadError:
             pass
         except ssl.SSLZeroReturnError:
             self.closed = True
         except ssl.SSLError as problem:
-            self.failed = _words(problem)
+            self.failure = _error_text(problem)
         return parts[0] if len(parts) == 1 else b"".join(parts)
 
     def wanted(self) -> bytes:
-        """What is to be sent after `feed`."""
+        """The bytes to send after `feed`."""
         return self._out.read()
 
     def write(self, data: bytes) -> bytes:
-        """Plain bytes into those that go out."""
-        if not self.done or self.failed:
+        """Encrypt plain bytes; returns the bytes to send, empty before the handshake is done."""
+        if not self.done or self.failure:
             return b""
         self._object.write(data)
         return self._out.read()
 
-    def end(self) -> bytes:
-        """The word that nothing more comes (close_notify)."""
+    def close_notify(self) -> bytes:
+        """The close_notify alert to send before closing."""
         with contextlib.suppress(ssl.SSLError):
             self._object.unwrap()
         return self._out.read()
 
-    def proof(self) -> Proof:
-        """What the far end has proven."""
+    def peer_certificate(self) -> CertificateInfo:
+        """The peer's certificate; only valid once the handshake is done."""
         cert = self._object.getpeercert() or {}
         names: tuple[tuple[str, str], ...] = cert.get("subjectAltName", ())  # type: ignore[assignment]
-        return Proof(
+        return CertificateInfo(
             sip_names(names),
             int(str(cert.get("serialNumber", "0")), 16),
             ssl.cert_time_to_seconds(str(cert["notBefore"])),
@@ -96,7 +98,7 @@
 
     @property
     def session(self) -> ssl.SSLSession | None:
-        """To resume with.  With TLS 1.3 it is there once something was read."""
+        """The session to resume later.  With TLS 1.3 it is available only after bytes were read."""
         return self._object.session
 
     @property
@@ -110,47 +112,52 @@
         except ssl.SSLWantReadError:
             pass
         except ssl.SSLError as problem:
-            self.failed = _words(problem)
+            self.failure = _error_text(problem)
 
 
-def _words(problem: ssl.SSLError) -> str:
-    """The cause in OpenSSL's words, without its file and line."""
-    said = getattr(problem, "verify_message", "") or problem.reason or str(problem)
-    return str(said).lower().replace("_", " ")[:120]
+def _error_text(problem: ssl.SSLError) -> str:
+    """OpenSSL's description of an error, without its source file and line."""
+    reason = getattr(problem, "verify_message", "") or problem.reason or str(problem)
+    return str(reason).lower().replace("_", " ")[:120]
 
 
 class Keys:
-    """Our own key, the CA, its revocation list; read anew by `load`.  Raises KeysError."""
+    """Our key and certificate, the CA and its revocation list.  Raises KeysError if a file cannot be used."""
 
     def __init__(self, tls: SipTls) -> None:
         self.tls = tls
-        self.stamps: tuple[object, ...] = ()
-        self.sessions: dict[str, ssl.SSLSession] = {}  # by the address dialled
+        self.file_stamps: tuple[object, ...] = ()
+        self.sessions: dict[str, ssl.SSLSession] = {}  # by dialled address
         self.load()
 
     def load(self) -> None:
-        """All of it, or nothing changes.  Connections that stand keep the key with which they were made."""
+        """Read all files; if one fails, the state stays as it was and KeysError is raised.
+
+        Open connections keep the key with which they were opened.
+        """
         tls = self.tls
-        stamps = self._stamps()
-        check_private(Path(tls.key))
+        file_stamps = self._file_stamps()
+        check_key_permissions(Path(tls.key))
         server, client = self._context(ssl.PROTOCOL_TLS_SERVER), self._context(ssl.PROTOCOL_TLS_CLIENT)
-        revoked = read_list(Path(tls.crl), Path(tls.ca)) if tls.crl else Revoked()
+        revoked = read_crl(Path(tls.crl), Path(tls.ca)) if tls.crl else RevocationList()
         own = read_certificate(Path(tls.cert))
-        self.server, self.client, self.revoked, self.own = server, client, revoked, own
-        self.stamps = stamps
-        self.sessions.clear()  # a session belongs to its context
-
-    def remember(self, address: str, tls: Tls) -> None:
-        """Keep the session of a link that was dialled, to resume it by; not one of keys that are no more."""
+        self.server_context, self.client, self.revocation_list, self.own_certificate = (
+            server, client, revoked, own,
+        )  # fmt: skip
+        self.file_stamps = file_stamps
+        self.sessions.clear()  # sessions can be resumed only in the context that created them
+
+    def save_session(self, address: str, tls: Tls) -> None:
+        """Save the session of a dialled link for resumption, unless the keys were reloaded since."""
         session = tls.session
         if tls.done and session is not None and tls.context is self.client:
             self.sessions[address] = session
 
-    def changed(self) -> bool:
-        """Whether a file is another than the one read."""
-        return self._stamps() != self.stamps
+    def files_changed(self) -> bool:
+        """Whether a file has changed since `load`."""
+        return self._file_stamps() != self.file_stamps
 
-    def _stamps(self) -> tuple[object, ...]:
+    def _file_stamps(self) -> tuple[object, ...]:
         tls, found = self.tls, list[object]()
         for name in (tls.ca, tls.cert, tls.key, tls.crl):
             try:
@@ -161,22 +168,23 @@
         return tuple(found)
 
     def _context(self, side: int) -> ssl.SSLContext:
-        tls, made = self.tls, ssl.SSLContext(side)
-        made.check_hostname = False  # names are bound to exchanges by the settings, not by what was dialled
-        made.verify_mode = ssl.CERT_REQUIRED
-        made.minimum_version = ssl.TLSVersion.TLSv1_2
-        made.verify_flags |= NO_CHECK_TIME
-        # Danger: a client may ask for a new handshake on each TLS 1.2 connection as often as it likes.
-        made.options |= ssl.OP_NO_RENEGOTIATION | ssl.OP_NO_COMPRESSION
+        tls, context = self.tls, ssl.SSLContext(side)
+        context.check_hostname = False  # the settings, not the dialled host, say which name an exchange has
+        context.verify_mode = ssl.CERT_REQUIRED
+        context.minimum_version = ssl.TLSVersion.TLSv1_2
+        context.verify_flags |= NO_CHECK_TIME
+        # Otherwise a client could start any number of new handshakes on a TLS 1.2 connection.
+        context.options |= ssl.OP_NO_RENEGOTIATION | ssl.OP_NO_COMPRESSION
         try:
-            made.load_verify_locations(tls.ca)
-            made.load_cert_chain(tls.cert, tls.key, password=_no_password)
-        except (OSError, ssl.SSLError) as problem:  # never the file's text: it may be a key's
-            said = problem.strerror if not isinstance(problem, ssl.SSLError) else problem.reason
-            raise KeysError(f"{tls.cert}, {tls.key}, {tls.ca}: cannot be used: {said}") from None
-        return made
+            context.load_verify_locations(tls.ca)
+            context.load_cert_chain(tls.cert, tls.key, password=_no_password)
+        except (OSError, ssl.SSLError) as problem:
+            # The message must not contain the file's text, which may be a key.
+            reason = problem.strerror if not isinstance(problem, ssl.SSLError) else problem.reason
+            raise KeysError(f"{tls.cert}, {tls.key}, {tls.ca}: cannot be used: {reason}") from None
+        return context
 
 
 def _no_password() -> str:
-    """Danger: asked for a password, OpenSSL would wait at the terminal and stop the server."""
+    """Without a password callback, OpenSSL would prompt at the terminal for an encrypted key and block."""
     return ""
--- a/eiderstep/server/watch.py
+++ b/eiderstep/server/watch.py
@@ -1,50 +1,51 @@
-"""Whether this process has run all the time, and the collector that must not stop it."""
+"""Detection of stalls of this process, and tuning of the garbage collector to avoid them."""
 
 from __future__ import annotations
 
 import gc
 
 SECOND = 1_000_000_000
-BEAT = 0.1  # seconds between two looks at whether we have run
-STALLED = SECOND // 4  # a gap between them from which we have not
-WAKING = SECOND // 10  # for that long after it what we read may have waited for us
+HEARTBEAT_INTERVAL_S = 0.1
+STALL_THRESHOLD = SECOND // 4  # a longer gap between two heartbeats counts as a stall (ns)
+RECOVERY_TIME = SECOND // 10  # how long after a stall messages read may have been queued during it (ns)
 
 
 class StallWatch:
-    """Looks at the gaps between beats.  Times in ns."""
+    """Detects stalls by the gaps between heartbeats.  Times in ns."""
 
-    def __init__(self, stalled: int = STALLED, waking: int = WAKING) -> None:
-        self.stalled, self.waking = stalled, waking
-        self.beaten = self.asleep = self.awake = 0  # last beat; the last stall, from and until
-        self.fresh = 0  # length of a stall that the last look was the first to see
+    def __init__(self, threshold: int = STALL_THRESHOLD, recovery_time: int = RECOVERY_TIME) -> None:
+        self.threshold, self.recovery_time = threshold, recovery_time
+        self.last_beat = self.stall_start = self.stall_end = 0
+        self.fresh = 0  # length of a stall that the last call of `waited` detected
 
     def beat(self, now: int) -> None:
-        """We run now."""
-        self.beaten = now
+        """Record a heartbeat."""
+        self.last_beat = now
 
     def waited(self, now: int) -> int:
-        """How long what is read now may have lain unread (ns): a stall's length, right after one.
+        """How long messages that are read now may have been queued (ns): the time since the stall began.
 
-        Danger: a process that was frozen finds set-ups of callers whose time has run meanwhile; counted from
-        the reading, they are answered too late.  Covers pauses of the host, of the garbage collector, of a
-        callback that took long.  Hurts where a call came at the end of a stall: it is held to be older than
-        it is, and is refused earlier than need be.
+        Returns 0 unless a stall has just ended.  After a stall of the process (a paused host, a garbage
+        collection, a long callback), the set-ups in the socket buffers are already old.  If their time limit
+        counted from the reading, they would be answered too late.  A call that arrived at the end of the
+        stall is taken to be older than it is, and may be refused early.
         """
         self.fresh = 0
-        if self.beaten and now - self.beaten > self.stalled:
-            if self.awake != now:
-                self.fresh = now - self.beaten
-            self.asleep, self.awake = self.beaten, now
-            self.beaten = now
-        return now - self.asleep if self.awake and now <= self.awake + self.waking else 0
+        if self.last_beat and now - self.last_beat > self.threshold:
+            if self.stall_end != now:
+                self.fresh = now - self.last_beat
+            self.stall_start, self.stall_end = self.last_beat, now
+            self.last_beat = now
+        return now - self.stall_start if self.stall_end and now <= self.stall_end + self.recovery_time else 0
 
 
 def settle_collector() -> None:
-    """What the start made is kept out of collections, and full ones are made rare.
+    """Exclude the objects created at start from garbage collection, and make full collections rare.
 
-    Danger: a full collection among thousands of standing calls stops the loop for tenths of a second.
-    What is over is freed by its count alone; the collector is for what slips through: small young
-    collections, often, and full ones rarely.  Hurts where memory is short and something does slip through.
+    A full collection with thousands of standing calls stops the loop for tenths of a second.  Reference
+    counting frees nearly all objects; the collector is needed only for cycles, so collections of the young
+    generation are small and frequent and full ones rare.  The cost: cycles that reach the oldest generation
+    occupy memory for longer.
     """
     gc.collect()
     gc.freeze()
--- a/eiderstep/server/wire.py
+++ b/eiderstep/server/wire.py
@@ -1,4 +1,4 @@
-"""Protocol classes for SIP over TCP and UDP, and the trace of every byte that passes them."""
+"""asyncio protocols for SIP over TCP, TLS and UDP, with an optional trace of all bytes."""
 
 from __future__ import annotations
 
@@ -12,177 +12,179 @@
 if TYPE_CHECKING:
     from eiderstep.server.tls import Tls
 
-NEVER: Any = None  # a plain connection has nothing to wait for
-Trace = Callable[
-    [int, str, str, str, bytes], None
-]  # ns, connection, peer, "in" | "out" | "up" | "down", bytes
+NO_FUTURE: Any = None  # `ready` of a plain connection, which is never awaited
+# Arguments: time (ns), label of the connection, peer address, "in" | "out" | "up" | "down", bytes.
+Trace = Callable[[int, str, str, str, bytes], None]
 
 
-class Host(Protocol):
-    """What the protocol classes need of the call server."""
+class ConnectionOwner(Protocol):
+    """The part of the call server that the protocol classes use."""
 
     limits: Limits
     trace: Trace | None
     loop: asyncio.AbstractEventLoop
 
     def now(self) -> int: ...
-    def knocked(self, wire: StreamWire) -> bool: ...
-    def unproven(self, wire: StreamWire, why: str) -> None: ...
-    def shake(self, wire: StreamWire, data: bytes) -> None: ...
-    def opened(self, wire: StreamWire) -> None: ...
-    def closed(self, wire: StreamWire) -> None: ...
+    def handshake_started(self, connection: StreamConnection) -> bool: ...
+    def authentication_failed(self, connection: StreamConnection, why: str) -> None: ...
+    def handshake_received(self, connection: StreamConnection, data: bytes) -> None: ...
+    def connection_ready(self, connection: StreamConnection) -> None: ...
+    def connection_closed(self, connection: StreamConnection) -> None: ...
     def came(self, flow: int, items: list[Message | BadMessage], reliable: bool) -> None: ...
 
 
-class StreamWire(asyncio.Protocol):
-    """One TCP connection, plain or with TLS.  `dialled` is the address we called, empty for an inbound one.
+class StreamConnection(asyncio.Protocol):
+    """One TCP connection, plain or with TLS.  `dialled` is the address that we dialled, empty if inbound.
 
-    The host hears of a connection with TLS (`opened`) once both ends are proven, and of plain bytes alone.
+    With TLS, `owner.connection_ready` is called once the handshake is complete, and messages are parsed from
+    the decrypted bytes.
     """
 
-    def __init__(self, host: Host, flow: int, dialled: str = "", tls: Tls | None = None) -> None:
-        self.host, self.flow, self.dialled, self.tls = host, flow, dialled, tls
-        self.parser = Parser(host.limits)
+    def __init__(self, owner: ConnectionOwner, flow: int, dialled: str = "", tls: Tls | None = None) -> None:
+        self.owner, self.flow, self.dialled, self.tls = owner, flow, dialled, tls
+        self.parser = Parser(owner.limits)
         self.transport: asyncio.Transport | None = None
         self.peer = dialled
-        self.host_name = ""  # the far end's address without its port
-        self.paused = self.refused = False
-        self.waiting = 0  # pieces of a handshake that wait for their turn
-        self.begun = 0.0  # when the message began that is not whole yet (s); 0 where none is
+        self.peer_host = ""  # the peer's address without its port
+        self.write_paused = self.rejected = False
+        self.queued_chunks = 0  # chunks of handshake bytes in the owner's queue
+        self.partial_since = 0.0  # arrival of an incomplete message (s), 0 where there is none
         self.label = ""
-        self.ready: asyncio.Future[None] = host.loop.create_future() if tls is not None else NEVER
+        self.ready: asyncio.Future[None] = owner.loop.create_future() if tls is not None else NO_FUTURE
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = transport = cast(asyncio.Transport, transport)  # uvloop's is no subclass of it
+        # uvloop's transport is not a subclass of asyncio.Transport.
+        self.transport = transport = cast(asyncio.Transport, transport)
         name = transport.get_extra_info("peername")
-        self.host_name = str(name[0]) if name else ""
+        self.peer_host = str(name[0]) if name else ""
         self.peer = self.dialled or (f"{name[0]}:{name[1]}" if name else "?")
         self.label = f"{'to' if self.dialled else 'from'} {self.peer} #{self.flow}"
         if self.tls is None:
-            self._open()
-        elif not self.host.knocked(self):
-            self.refused = True
+            self._report_ready()
+        elif not self.owner.handshake_started(self):
+            self.rejected = True
             self.abort()
         elif not self.tls.server_side:
             transport.write(self.tls.start())
 
-    def _open(self) -> None:
-        if self.host.trace is not None:
-            self.host.trace(self.host.now(), self.label, self.peer, "up", b"")
-        self.host.opened(self)
+    def _report_ready(self) -> None:
+        if self.owner.trace is not None:
+            self.owner.trace(self.owner.now(), self.label, self.peer, "up", b"")
+        self.owner.connection_ready(self)
 
     def data_received(self, data: bytes) -> None:
-        if self.refused:
+        if self.rejected:
             return
         if self.tls is None:
-            self._plain(data)
-        elif self.tls.done and not self.waiting:
-            self._plain(self._through(self.tls, data))
+            self._plain_received(data)
+        elif self.tls.done and not self.queued_chunks:
+            self._plain_received(self._decrypt(self.tls, data))
         else:
-            self.waiting += 1
+            self.queued_chunks += 1
             if self.transport is not None:
-                self.transport.pause_reading()  # no more of it is held than one piece
-            self.host.shake(self, data)
+                self.transport.pause_reading()  # holds at most one chunk in the queue
+            self.owner.handshake_received(self, data)
 
-    def shaken(self, data: bytes) -> None:
-        """What waited for its turn: bytes of a handshake, and what came behind them."""
-        self.waiting -= 1
-        if self.tls is not None and not self.refused and self.transport is not None:
+    def process_handshake(self, data: bytes) -> None:
+        """Process queued bytes: handshake data and whatever followed it in the same chunk."""
+        self.queued_chunks -= 1
+        if self.tls is not None and not self.rejected and self.transport is not None:
             if not self.transport.is_closing():
-                self._plain(self._through(self.tls, data))
-            if not self.waiting and not self.transport.is_closing():
+                self._plain_received(self._decrypt(self.tls, data))
+            if not self.queued_chunks and not self.transport.is_closing():
                 self.transport.resume_reading()
 
-    def _plain(self, data: bytes) -> None:
+    def _plain_received(self, data: bytes) -> None:
         if not data:
             return
-        if self.host.trace is not None:
-            self.host.trace(self.host.now(), self.label, self.peer, "in", data)
+        if self.owner.trace is not None:
+            self.owner.trace(self.owner.now(), self.label, self.peer, "in", data)
         items = self.parser.feed(data)
         if not self.parser.buffer:
-            self.begun = 0.0
-        elif items or not self.begun:
-            self.begun = self.host.now() / 1e9
+            self.partial_since = 0.0
+        elif items or not self.partial_since:
+            self.partial_since = self.owner.now() / 1e9
         if items:
-            self.host.came(self.flow, items, True)
+            self.owner.came(self.flow, items, True)
 
-    def _through(self, tls: Tls, data: bytes) -> bytes:
-        """Bytes through TLS; the plain ones, once the far end is proven."""
+    def _decrypt(self, tls: Tls, data: bytes) -> bytes:
+        """Pass received bytes through TLS; returns the decrypted ones, empty during the handshake."""
         assert self.transport is not None
-        was = tls.done
+        was_done = tls.done
         plain = tls.feed(data)
-        if wanted := tls.wanted():
-            self.transport.write(wanted)
-        if tls.done and not was:
-            self._open()
-            if self.refused:
+        if pending := tls.wanted():
+            self.transport.write(pending)
+        if tls.done and not was_done:
+            self._report_ready()
+            if self.rejected:
                 return b""
             if not self.ready.done():
                 self.ready.set_result(None)
-        if tls.failed:
+        if tls.failure:
             if tls.done:
                 self.abort()
             else:
-                self.host.unproven(self, tls.failed)
+                self.owner.authentication_failed(self, tls.failure)
         elif tls.closed:
             self.transport.close()
         return plain
 
     def connection_lost(self, exc: Exception | None) -> None:
-        if self.tls is None or (self.tls.done and not self.refused):
-            if self.host.trace is not None:
-                self.host.trace(self.host.now(), self.label, self.peer, "down", b"")
+        if self.tls is None or (self.tls.done and not self.rejected):
+            if self.owner.trace is not None:
+                self.owner.trace(self.owner.now(), self.label, self.peer, "down", b"")
         if self.tls is not None and not self.ready.done():
-            self.ready.set_exception(ConnectionError("lost before it was proven"))
-            self.ready.exception()  # retrieved: nobody may be waiting
-        self.host.closed(self)
+            self.ready.set_exception(ConnectionError("connection lost during the TLS handshake"))
+            self.ready.exception()  # marks it as retrieved, as there may be no waiter
+        self.owner.connection_closed(self)
 
     def pause_writing(self) -> None:
-        self.paused = True
+        self.write_paused = True
 
     def resume_writing(self) -> None:
-        self.paused = False
+        self.write_paused = False
 
     def send(self, data: bytes) -> None:
-        """Write, in one piece for a whole batch of messages."""
+        """Write the bytes of one batch of messages."""
         if self.transport is not None and not self.transport.is_closing():
-            if self.host.trace is not None:
-                self.host.trace(self.host.now(), self.label, self.peer, "out", data)
+            if self.owner.trace is not None:
+                self.owner.trace(self.owner.now(), self.label, self.peer, "out", data)
             self.transport.write(data if self.tls is None else self.tls.write(data))
 
     def abort(self) -> None:
-        """Gone at once, with what is unsent: nobody is owed anything."""
-        self.begun = 0.0
+        """Close at once and drop unsent bytes."""
+        self.partial_since = 0.0
         if self.transport is not None:
             self.transport.abort()
 
     def close(self) -> None:
+        """Close after sending all buffered bytes; with TLS after close_notify."""
         if self.transport is not None:
             if self.tls is not None and self.tls.done and not self.transport.is_closing():
-                self.transport.write(self.tls.end())
+                self.transport.write(self.tls.close_notify())
             self.transport.close()
 
 
-class DatagramWire(asyncio.DatagramProtocol):
-    """The UDP socket.  Each peer address is a flow of its own."""
+class DatagramSocket(asyncio.DatagramProtocol):
+    """The UDP socket.  Each peer address is a separate flow, whose number `flow_of` returns."""
 
-    def __init__(self, host: Host, flow_of: Callable[[tuple[str, int]], int]) -> None:
-        self.host, self.flow_of = host, flow_of
+    def __init__(self, owner: ConnectionOwner, flow_of: Callable[[tuple[str, int]], int]) -> None:
+        self.owner, self.flow_of = owner, flow_of
         self.transport: asyncio.DatagramTransport | None = None
 
     def connection_made(self, transport: Any) -> None:
         self.transport = transport
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        if self.host.trace is not None:
-            self.host.trace(self.host.now(), f"udp {addr[0]}:{addr[1]}", f"{addr[0]}:{addr[1]}", "in", data)
-        item = parse_datagram(data, self.host.limits)
+        if self.owner.trace is not None:
+            self.owner.trace(self.owner.now(), f"udp {addr[0]}:{addr[1]}", f"{addr[0]}:{addr[1]}", "in", data)
+        item = parse_datagram(data, self.owner.limits)
         if item is not None:
-            self.host.came(self.flow_of(addr), [item], False)
+            self.owner.came(self.flow_of(addr), [item], False)
 
     def send(self, addr: tuple[str, int], data: bytes) -> None:
         if self.transport is not None:
-            if self.host.trace is not None:
+            if self.owner.trace is not None:
                 peer = f"{addr[0]}:{addr[1]}"
-                self.host.trace(self.host.now(), f"udp {peer}", peer, "out", data)
+                self.owner.trace(self.owner.now(), f"udp {peer}", peer, "out", data)
             self.transport.sendto(data, addr)
--- a/eiderstep/trust/__init__.py
+++ b/eiderstep/trust/__init__.py
@@ -1,1 +1,1 @@
-"""Who is at the other end and what each may say; decides without I/O (docs/design/trust.md)."""
+"""Authentication, authorisation and limits of remote peers, without I/O (docs/design/trust.md)."""
--- a/eiderstep/trust/authority.py
+++ b/eiderstep/trust/authority.py
@@ -1,7 +1,7 @@
-"""A small CA for exchanges that have none: a folder with its key, what it issued, and what it revoked.
+"""A small CA for exchanges without one: a folder with its key, the certificates issued and revoked.
 
-Certificates are short-lived and name SIP domains (RFC 5922).  Needs `cryptography` (the extra `keys`); a call
-server itself needs it only to read revocation lists.
+Certificates are short-lived and contain SIP domains (RFC 5922).  Requires `cryptography` (the optional
+dependencies `keys`), as does a call server with TLS, to read its certificate and revocation list.
 """
 
 from __future__ import annotations
@@ -18,14 +18,14 @@
 from cryptography.hazmat.primitives.asymmetric import ec
 from cryptography.x509.oid import ExtendedKeyUsageOID, NameOID
 
-from eiderstep.trust.proof import KeysError, Proof, Revoked, sip_names
+from eiderstep.trust.proof import CertificateInfo, KeysError, RevocationList, sip_names
 
 SIP_DOMAIN = x509.ObjectIdentifier("1.3.6.1.5.5.7.3.20")  # RFC 5924, id-kp-sipDomain
-EARLIER = 60  # seconds that a certificate begins before it is made: clocks differ
+BACKDATE_S = 60  # notBefore lies this long before the time of issue, as clocks differ
 
 
-class Row(msgspec.Struct):
-    """One certificate that was issued.  Times are seconds since 1970; `revoked` 0: it was not."""
+class IssuedCertificate(msgspec.Struct):
+    """One issued certificate.  Times are seconds since 1970; `revoked` is 0 while it is not revoked."""
 
     name: str
     serial: str
@@ -38,19 +38,19 @@
     return x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, common[:64])])
 
 
-def _time(seconds: float) -> datetime:
+def _utc(seconds: float) -> datetime:
     return datetime.fromtimestamp(int(seconds), UTC)
 
 
 class Authority:
-    """The folder.  `now` in all calls: seconds since 1970."""
+    """A CA in a folder.  `now` in all methods: seconds since 1970.  All methods raise KeysError."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
 
     @staticmethod
     def make(folder: Path, name: str, now: float, days: float = 3650) -> Authority:
-        """A new CA.  Raises KeysError where there is one."""
+        """Create a CA.  Raises KeysError where the folder has one already."""
         if (folder / "ca.key").exists():
             raise KeysError(f"{folder}: found a CA; allowed: a folder without ca.key")
         folder.mkdir(parents=True, exist_ok=True)
@@ -58,22 +58,23 @@
         builder = (
             x509.CertificateBuilder().subject_name(_subject(name)).issuer_name(_subject(name))
             .public_key(key.public_key()).serial_number(x509.random_serial_number())
-            .not_valid_before(_time(now - EARLIER)).not_valid_after(_time(now + days * 86_400))
+            .not_valid_before(_utc(now - BACKDATE_S)).not_valid_after(_utc(now + days * 86_400))
             .add_extension(x509.BasicConstraints(ca=True, path_length=0), critical=True)
-            .add_extension(_usage(sign=True), critical=True)
+            .add_extension(_key_usage(sign=True), critical=True)
             .add_extension(x509.SubjectKeyIdentifier.from_public_key(key.public_key()), critical=False)
         )  # fmt: skip
         write_private(folder / "ca.key", _key_bytes(key))
         write_public(folder / "ca.pem", _pem(builder.sign(key, hashes.SHA256())))
-        made = Authority(folder)
-        made._keep([])
-        made.write_list(now)
-        return made
+        authority = Authority(folder)
+        authority._save_rows([])
+        authority.write_list(now)
+        return authority
 
     def issue(self, name: str, now: float, hours: float = 24.0, stem: str = "") -> Path:
-        """A key and a certificate for a SIP domain: `STEM.pem`, `STEM.key`.
+        """Issue a key and a certificate for a SIP domain: `STEM.key` and `STEM.pem`, whose path is returned.
 
-        The same name again is a renewal: a new key; the old certificate counts until it ends or is revoked.
+        For a name that was issued before, this is a renewal with a new key; the old certificate stays valid
+        until it expires or is revoked.
         """
         if (
             not name
@@ -81,7 +82,7 @@
             or not all(part.replace("-", "").isalnum() for part in name.split("."))
         ):
             raise KeysError(f"found name {name!r}; allowed: a domain name such as x1.midlands")
-        ca, signer = self._ca()
+        ca, signer = self._load_ca()
         ends = min(now + hours * 3600, ca.not_valid_after_utc.timestamp())
         if hours <= 0 or ends <= now:
             raise KeysError(f"found {hours:g} hours; allowed: above 0, within the CA's own life")
@@ -89,79 +90,81 @@
         serial = x509.random_serial_number()
         names = [x509.UniformResourceIdentifier(f"sip:{name.lower()}"), x509.DNSName(name.lower())]
         purposes = [ExtendedKeyUsageOID.SERVER_AUTH, ExtendedKeyUsageOID.CLIENT_AUTH, SIP_DOMAIN]
-        begins = int(max(now - EARLIER, ca.not_valid_before_utc.timestamp()))
+        begins = int(max(now - BACKDATE_S, ca.not_valid_before_utc.timestamp()))
         builder = (
             x509.CertificateBuilder().subject_name(_subject(name)).issuer_name(ca.subject)
             .public_key(key.public_key()).serial_number(serial)
-            .not_valid_before(_time(begins)).not_valid_after(_time(ends))
+            .not_valid_before(_utc(begins)).not_valid_after(_utc(ends))
             .add_extension(x509.BasicConstraints(ca=False, path_length=None), critical=True)
             .add_extension(x509.SubjectAlternativeName(names), critical=False)
-            .add_extension(_usage(sign=False), critical=True)
+            .add_extension(_key_usage(sign=False), critical=True)
             .add_extension(x509.ExtendedKeyUsage(purposes), critical=False)
             .add_extension(
                 x509.AuthorityKeyIdentifier.from_issuer_public_key(signer.public_key()), critical=False
             )
         )  # fmt: skip
         stem = stem or name.lower()
-        # The certificate first: a server that reads between the two finds a pair that does not fit, keeps
-        # what it has, and reads again.
+        # A server that reads between the two writes finds a certificate that does not match the key, goes on
+        # with the old pair, and reads again later.
         write_public(self.folder / f"{stem}.pem", _pem(builder.sign(signer, hashes.SHA256())))
         write_private(self.folder / f"{stem}.key", _key_bytes(key))
-        self._keep([*self.rows(), Row(name.lower(), f"{serial:x}", begins, int(ends))])
+        self._save_rows([*self.rows(), IssuedCertificate(name.lower(), f"{serial:x}", begins, int(ends))])
         return self.folder / f"{stem}.pem"
 
-    def revoke(self, what: str, now: float) -> list[Row]:
-        """All certificates of a name that still count, or the one of a serial number (hexadecimal)."""
+    def revoke(self, what: str, now: float) -> list[IssuedCertificate]:
+        """Revoke all valid certificates of a name, or the one with a serial number (hexadecimal)."""
         rows = self.rows()
-        found = [r for r in rows if what.lower() in (r.name, r.serial) and not r.revoked and r.ends > now]
-        if not found:
+        valid = [r for r in rows if what.lower() in (r.name, r.serial) and not r.revoked and r.ends > now]
+        if not valid:
             raise KeysError(
                 f"found no valid certificate of {what!r}; allowed: a name or serial that was issued"
             )
-        for row in found:
+        for row in valid:
             row.revoked = int(now)
-        self._keep(rows)
+        self._save_rows(rows)
         self.write_list(now)
-        return found
+        return valid
 
     def write_list(self, now: float, hours: float = 24.0) -> Path:
-        """The revocation list anew, `crl.pem`: good for so many hours."""
-        ca, signer = self._ca()
+        """Write the revocation list `crl.pem`, which is up to date for `hours`."""
+        ca, signer = self._load_ca()
         builder = (
             x509.CertificateRevocationListBuilder().issuer_name(ca.subject)
-            .last_update(_time(now)).next_update(_time(now + hours * 3600))
+            .last_update(_utc(now)).next_update(_utc(now + hours * 3600))
         )  # fmt: skip
         for row in self.rows():
             if row.revoked and row.ends > now - 86_400:
-                gone = x509.RevokedCertificateBuilder().serial_number(int(row.serial, 16))
-                builder = builder.add_revoked_certificate(gone.revocation_date(_time(row.revoked)).build())
+                entry = x509.RevokedCertificateBuilder().serial_number(int(row.serial, 16))
+                builder = builder.add_revoked_certificate(entry.revocation_date(_utc(row.revoked)).build())
         write_public(self.folder / "crl.pem", _pem(builder.sign(signer, hashes.SHA256())))
         return self.folder / "crl.pem"
 
-    def rows(self) -> list[Row]:
-        """What was issued, oldest first."""
+    def rows(self) -> list[IssuedCertificate]:
+        """All issued certificates, oldest first."""
         try:
-            return msgspec.json.decode((self.folder / "issued.json").read_bytes(), type=list[Row])
+            return msgspec.json.decode(
+                (self.folder / "issued.json").read_bytes(), type=list[IssuedCertificate]
+            )
         except (OSError, msgspec.MsgspecError) as problem:
-            raise KeysError(f"{self.folder}: found no list of what was issued ({problem})") from None
+            raise KeysError(f"{self.folder}: found no list of issued certificates ({problem})") from None
 
-    def _keep(self, rows: list[Row]) -> None:
+    def _save_rows(self, rows: list[IssuedCertificate]) -> None:
         write_public(self.folder / "issued.json", msgspec.json.format(msgspec.json.encode(rows), indent=1))
 
-    def _ca(self) -> tuple[x509.Certificate, ec.EllipticCurvePrivateKey]:
-        check_private(self.folder / "ca.key")
+    def _load_ca(self) -> tuple[x509.Certificate, ec.EllipticCurvePrivateKey]:
+        check_key_permissions(self.folder / "ca.key")
         try:
             cert = x509.load_pem_x509_certificate((self.folder / "ca.pem").read_bytes())
             key = serialization.load_pem_private_key((self.folder / "ca.key").read_bytes(), None)
         except (OSError, ValueError) as problem:
             raise KeysError(f"{self.folder}: found no CA ({type(problem).__name__}); see `keys ca`") from None
         if not isinstance(key, ec.EllipticCurvePrivateKey):
-            raise KeysError(f"{self.folder}/ca.key: found another kind of key; allowed: elliptic curve")
+            raise KeysError(f"{self.folder}/ca.key: found another type of key; allowed: elliptic curve")
         return cert, key
 
 
-def read_list(crl: Path, ca: Path) -> Revoked:
-    """A revocation list, signed by that CA.  Raises KeysError."""
+def read_crl(crl: Path, ca: Path) -> RevocationList:
+    """Read a revocation list.  Raises KeysError unless it is signed by a CA in `ca`."""
     try:
         listed = x509.load_pem_x509_crl(crl.read_bytes())
         issuers = x509.load_pem_x509_certificates(ca.read_bytes())
@@ -175,13 +178,13 @@
         except (InvalidSignature, TypeError, ValueError):
             continue
     else:
-        raise KeysError(f"{crl}: found a list that no CA of {ca} has signed")
+        raise KeysError(f"{crl}: found a revocation list that is not signed by a CA of {ca}")
     until = listed.next_update_utc
-    return Revoked(frozenset(r.serial_number for r in listed), until.timestamp() if until else 0.0)
+    return RevocationList(frozenset(r.serial_number for r in listed), until.timestamp() if until else 0.0)
 
 
-def read_certificate(path: Path) -> Proof:
-    """What a certificate of our own proves.  Raises KeysError."""
+def read_certificate(path: Path) -> CertificateInfo:
+    """Read our own certificate.  Raises KeysError."""
     try:
         cert = x509.load_pem_x509_certificate(path.read_bytes())
     except (OSError, ValueError) as problem:
@@ -193,14 +196,13 @@
     names = [("URI", n) for n in listed.get_values_for_type(x509.UniformResourceIdentifier)]
     names += [("DNS", n) for n in listed.get_values_for_type(x509.DNSName)]
     begins, ends = cert.not_valid_before_utc.timestamp(), cert.not_valid_after_utc.timestamp()
-    return Proof(sip_names(tuple(names)), cert.serial_number, begins, ends)
+    return CertificateInfo(sip_names(tuple(names)), cert.serial_number, begins, ends)
 
 
-def check_private(path: Path) -> None:
-    """Raises KeysError where others than the owner can read a key file.
+def check_key_permissions(path: Path) -> None:
+    """Raises KeysError if a key file is accessible to other users than its owner, who could copy the key.
 
-    Danger: a key that others can read is theirs.  Hurts where a key is shared by a group on purpose: give the
-    call server a copy of its own.
+    Where several accounts share a key on purpose, the call server needs its own copy.
     """
     try:
         mode = path.stat().st_mode
@@ -211,11 +213,12 @@
 
 
 def write_private(path: Path, data: bytes) -> None:
-    """Whole or not at all, and never for others to read, not even while it is written."""
+    """Write a file atomically; at no time is it readable for other users than the owner."""
     _replace(path, data, 0o600)
 
 
 def write_public(path: Path, data: bytes) -> None:
+    """Write a file atomically, readable for all users."""
     _replace(path, data, 0o644)
 
 
@@ -242,7 +245,7 @@
     return key.private_bytes(serialization.Encoding.PEM, form, plain)
 
 
-def _usage(sign: bool) -> x509.KeyUsage:
+def _key_usage(sign: bool) -> x509.KeyUsage:
     return x509.KeyUsage(
         digital_signature=not sign, key_cert_sign=sign, crl_sign=sign, content_commitment=False,
         key_encipherment=False, data_encipherment=False, key_agreement=False, encipher_only=False,
--- a/eiderstep/trust/pace.py
+++ b/eiderstep/trust/pace.py
@@ -1,4 +1,4 @@
-"""How fast things come, and log lines of one event and source at a bounded rate.  No I/O, no clock."""
+"""Leaky bucket for rate limits, and rate limiting of log lines.  No I/O, no clock.  Times in ns."""
 
 from __future__ import annotations
 
@@ -6,51 +6,51 @@
 from collections.abc import Hashable
 
 SECOND = 1_000_000_000
-REMEMBERED = 1024
+MAX_KEYS = 1024
 
 
 class Bucket:
-    """What came above a rate (a second), as it runs off."""
+    """A leaky bucket used as a meter: drains at `rate` a second; `level` is what has not drained yet."""
 
-    __slots__ = ("at", "level", "rate")
+    __slots__ = ("level", "rate", "updated_at")
 
     def __init__(self, rate: float) -> None:
         self.rate = rate
-        self.level, self.at = 0.0, 0  # above the rate, and when that was reckoned (ns)
+        self.level, self.updated_at = 0.0, 0
 
     def pour(self, now: int, weight: int = 1) -> float:
-        """So much more: how far it is over its rate then, in seconds of it."""
-        self.level = max(self.level - (now - self.at) / SECOND * self.rate, 0.0) + weight
-        self.at = now
+        """Add `weight`; returns how many seconds the bucket needs to drain."""
+        self.level = max(self.level - (now - self.updated_at) / SECOND * self.rate, 0.0) + weight
+        self.updated_at = now
         return self.level / self.rate
 
 
 class Thinner:
-    """Lets `burst` lines of one key through in each `period`; the next one through tells how many were not.
+    """Limits log lines to `burst` for each key and `period` (ns), and counts the suppressed ones.
 
-    Danger: one log line for each message of an attacker fills the disk and costs more than the message.
-    Hurts who looks for one certain line among many alike: the count stays, the line does not.
+    A log line for each message of an attacker would fill the disk and cost more than the message.  Of the
+    suppressed lines only the count is logged.
     """
 
     def __init__(self, burst: int = 5, period: int = 10 * SECOND) -> None:
         self.burst, self.period = burst, period
-        self.seen: OrderedDict[Hashable, list[int]] = OrderedDict()  # key: since, let through, held back
+        self.windows: OrderedDict[Hashable, list[int]] = OrderedDict()  # start, passed, suppressed
 
     def line(self, now: int, key: Hashable) -> int:
-        """How many lines of this key were held back before this one; -1 where this one is held back too."""
-        row = self.seen.get(key)
-        if row is None:
-            if len(self.seen) >= REMEMBERED:
-                self.seen.popitem(last=False)
-            self.seen[key] = [now, 1, 0]
+        """Count one line; returns the number suppressed in the last period, or -1 to suppress this one."""
+        window = self.windows.get(key)
+        if window is None:
+            if len(self.windows) >= MAX_KEYS:
+                self.windows.popitem(last=False)
+            self.windows[key] = [now, 1, 0]
             return 0
-        if now - row[0] >= self.period:
-            held = row[2]
-            row[:] = [now, 1, 0]
-            self.seen.move_to_end(key)
-            return held
-        if row[1] < self.burst:
-            row[1] += 1
+        if now - window[0] >= self.period:
+            suppressed = window[2]
+            window[:] = [now, 1, 0]
+            self.windows.move_to_end(key)
+            return suppressed
+        if window[1] < self.burst:
+            window[1] += 1
             return 0
-        row[2] += 1
+        window[2] += 1
         return -1
--- a/eiderstep/trust/party.py
+++ b/eiderstep/trust/party.py
@@ -1,7 +1,7 @@
-"""Who is at the other end: by the key it proved, or on a plain link by the address that the settings name.
+"""Identification of remote peers: by certificate over TLS, by configured address on plain links.
 
-Nothing that a message says of its sender counts here.  `Book` holds what the settings and the list of
-exchanges name and is asked once for each new connection.
+What a message says about its sender is not used.  `Book` holds the addresses and identities from the
+settings and the list of exchanges, and is consulted once for each new connection.
 """
 
 from __future__ import annotations
@@ -12,17 +12,17 @@
 from eiderstep.config.schema import Caller, ServerSettings
 from eiderstep.sip.message import split_address
 
-HOSTS = 1024  # addresses of which it is remembered whether a network holds them
+CALLER_CACHE_SIZE = 1024  # addresses with a cached result of the search through the callers' networks
 
 
 @dataclass(frozen=True, slots=True)
 class Party:
-    """One far end.
+    """A remote peer.
 
-    `exchanges`: the numbers it may speak for; more than one only where a plain network has several exchanges
-    at one address, until the first trunk group that it names settles which it is.  `caller`: the entry of the
-    settings by which it may ask for calls of its own, None where it may not.  `source`: whose limits it
-    draws on.  `proven`: by a key, and not by an address alone.
+    `exchanges`: the exchange numbers it may act for.  There is more than one only where several exchanges
+    share an address on a plain network, until the first trunk group that the peer names decides which of them
+    it is.  `caller`: the entry of the settings that allows it to originate calls, or None.  `source`: the key
+    of its limits.  `proven`: identified by a certificate, not by its address alone.
     """
 
     exchanges: frozenset[int] = frozenset()
@@ -36,7 +36,7 @@
 
     @property
     def exchange(self) -> int:
-        """The one exchange that it is; -1 for a caller, for nobody, and while it may be one of several."""
+        """Its exchange number; -1 for a caller or unknown peer, or while it may be one of several."""
         return next(iter(self.exchanges)) if len(self.exchanges) == 1 else -1
 
     def __str__(self) -> str:
@@ -49,91 +49,91 @@
 
 
 def same(one: Party, other: Party) -> bool:
-    """Whether two connections surely lead to one and the same exchange.
+    """Whether two peers are certain to be the same exchange.
 
-    Callers are never held to be the same over two connections: many of them share an address, or one key.
+    Never true for callers, since many of them may share an address or a key.
     """
     return one.exchange >= 0 and one.exchange == other.exchange
 
 
 class Book:
-    """What the settings and the list of exchanges name: addresses of exchanges, networks of callers, names
-    in certificates."""
+    """Addresses of exchanges, networks of callers and names in certificates, by settings and list."""
 
     def __init__(self, settings: ServerSettings) -> None:
         self.settings = settings
-        self.named: dict[str, set[int]] = {}  # by host, as the settings have it
-        self.moved: dict[str, set[int]] = {}  # by host, as the list of exchanges has it
-        self.own = Caller(name="lines")  # the far end of `lines`: the exchange's own subscribers
+        self.configured_hosts: dict[str, set[int]] = {}  # host: exchanges, from the settings
+        self.listed_hosts: dict[str, set[int]] = {}  # host: exchanges, from the list
+        self.own = Caller(name="lines")  # the peer at `lines`: our own subscriber lines
         for peer in settings.peers:
             for host in (split_address(peer.address)[0], *peer.hosts):
-                self.named.setdefault(plain_host(host), set()).add(peer.number)
-        self.identities = {identity(settings, p.number): p.number for p in settings.peers}
-        self.members = {c.identity.lower(): c for c in settings.trust.callers if c.identity}
+                self.configured_hosts.setdefault(canonical_host(host), set()).add(peer.number)
+        self.exchange_by_identity = {exchange_identity(settings, p.number): p.number for p in settings.peers}
+        self.caller_by_identity = {c.identity.lower(): c for c in settings.trust.callers if c.identity}
         self._networks = [
             (ip_network(text, strict=False), caller)
             for caller in settings.trust.callers
             for text in caller.networks
         ]
-        self._callers: dict[str, Caller | None] = {}
+        self._caller_cache: dict[str, Caller | None] = {}
 
     def heard(self, listed: dict[str, int]) -> None:
-        """The list of exchanges: office addresses and their numbers.
+        """Take addresses of exchanges from the list: office addresses and their exchange numbers.
 
-        Danger: an exchange that moved would be a stranger at its new address until the settings are written
-        anew.  Who writes the register can so name an address an exchange's; it can send all our set-ups there
-        anyway.  Hurts on a plain network whose register is less trusted than its addresses: there give
-        `moves=False`, or keys, with which an address counts for nothing.
+        Otherwise an exchange that moved would be unknown at its new address until the settings are changed.
+        The cost: whoever controls the register can make an address count as an exchange's, but it could also
+        direct all our set-ups there.  On a plain network whose register is trusted less than its addresses,
+        set `moves=False`, or use TLS, where addresses do not identify peers.
         """
-        self.moved.clear()
+        self.listed_hosts.clear()
         if self.settings.trust.moves:
             for office, number in listed.items():
-                self.moved.setdefault(plain_host(split_address(office)[0]), set()).add(number)
+                self.listed_hosts.setdefault(canonical_host(split_address(office)[0]), set()).add(number)
 
-    def at(self, host: str) -> Party:
-        """Who connects from an address, over a plain link."""
-        host = plain_host(host)
+    def by_address(self, host: str) -> Party:
+        """The peer at an address on a plain link."""
+        host = canonical_host(host)
         exchanges: frozenset[int] = frozenset()
         if self.settings.trust.plain_exchanges:
-            exchanges = frozenset(self.named.get(host, set()) | self.moved.get(host, set()))
+            exchanges = frozenset(self.configured_hosts.get(host, set()) | self.listed_hosts.get(host, set()))
         return Party(exchanges, self._caller(host), host)
 
-    def expects(self, host: str) -> bool:
-        """Whether an exchange is known to be at an address, whatever it has to prove yet."""
-        host = plain_host(host)
-        return host in self.named or host in self.moved
+    def is_exchange_address(self, host: str) -> bool:
+        """Whether the settings or the list have an exchange at this address, authenticated or not."""
+        host = canonical_host(host)
+        return host in self.configured_hosts or host in self.listed_hosts
 
-    def by_key(self, names: tuple[str, ...], host: str) -> Party:
-        """Who has proven these names with a key (RFC 5922); its address counts for nothing."""
+    def by_identity(self, names: tuple[str, ...], host: str) -> Party:
+        """The peer whose certificate has these names (RFC 5922); `host` only serves as source if unknown."""
         exchanges, caller = set[int](), None
         for name in names:
-            number = self.identities.get(name.lower())
+            number = self.exchange_by_identity.get(name.lower())
             if number is not None:
                 exchanges.add(number)
-            caller = caller or self.members.get(name.lower())
+            caller = caller or self.caller_by_identity.get(name.lower())
         source = ",".join(sorted(n.lower() for n in names))[:128] if exchanges or caller else host
         return Party(frozenset(exchanges), caller, source, True)
 
     def _caller(self, host: str) -> Caller | None:
-        if host not in self._callers:
-            if len(self._callers) >= HOSTS:  # a stranger with many addresses must not fill our memory
-                self._callers.clear()
-            self._callers[host] = next((c for net, c in self._networks if within(host, net)), None)
-        return self._callers[host]
+        if host not in self._caller_cache:
+            # Bounds the memory that a client with many addresses can take.
+            if len(self._caller_cache) >= CALLER_CACHE_SIZE:
+                self._caller_cache.clear()
+            self._caller_cache[host] = next((c for net, c in self._networks if in_network(host, net)), None)
+        return self._caller_cache[host]
 
 
-def identity(settings: ServerSettings, number: int) -> str:
-    """The name that an exchange proves with its key: a SIP domain (RFC 5922 section 7.1)."""
+def exchange_identity(settings: ServerSettings, number: int) -> str:
+    """The SIP domain in the certificate of an exchange (RFC 5922 section 7.1)."""
     own = next((p.identity for p in settings.peers if p.number == number), "")
     return (own or f"x{number}.{settings.context}").lower()
 
 
-def plain_host(host: str) -> str:
-    """An IPv4 address that a dual-stack socket shows as IPv6 is the IPv4 address."""
+def canonical_host(host: str) -> str:
+    """Converts an IPv4-mapped IPv6 address, as dual-stack sockets report it, to the IPv4 address."""
     return host.removeprefix("::ffff:") if "." in host else host
 
 
-def within(host: str, network: IPv4Network | IPv6Network) -> bool:
+def in_network(host: str, network: IPv4Network | IPv6Network) -> bool:
     try:
         address = ip_address(host)
     except ValueError:
--- a/eiderstep/trust/proof.py
+++ b/eiderstep/trust/proof.py
@@ -1,7 +1,7 @@
-"""What a certificate proves, and until when.  No I/O, no clock; the chain itself is checked by TLS.
+"""Names, validity and revocation of certificates.  No I/O, no clock; TLS checks the certificate chain.
 
-Times are seconds since 1970.  TLS is told not to look at the clock, so that validity is judged here: with a
-stated slack, at each look again, and by the clock of the lab where there is one.
+Times are seconds since 1970.  The TLS library does not check validity times.  They are checked here, which
+allows for a configured clock difference, for checks on open connections, and for the clock of the lab.
 """
 
 from __future__ import annotations
@@ -12,67 +12,75 @@
 
 
 class KeysError(ValueError):
-    """What is wrong with a folder, a file or a name of keys, and what is allowed."""
+    """A key, certificate or CA folder cannot be used; says what was found and what is allowed."""
 
 
 @dataclass(frozen=True, slots=True)
-class Proof:
-    """One certificate of the far end, whose chain and key TLS has checked.  `names`: SIP domains."""
+class CertificateInfo:
+    """The checked fields of a certificate.  `names`: its SIP domains."""
 
     names: tuple[str, ...]
     serial: int
-    begins: float
-    ends: float
+    not_before: float
+    not_after: float
 
 
 @dataclass(frozen=True, slots=True)
-class Revoked:
-    """The CA's list: serial numbers that count no more, and until when the list itself is good."""
+class RevocationList:
+    """The revocation list of the CA.  `next_update`: until when it is up to date, 0 where not stated."""
 
     serials: frozenset[int] = field(default_factory=frozenset)
-    until: float = 0.0
+    next_update: float = 0.0
 
 
 def sip_names(subject_alt_name: tuple[tuple[str, str], ...]) -> tuple[str, ...]:
-    """RFC 5922 section 7.1: `sip:` URIs without a user; only where there are none, DNS names.  A common name
-    proves nothing."""
-    uris = []
+    """The SIP domains of a subjectAltName by RFC 5922 section 7.1, in lower case.
+
+    These are the `sip:` URIs without a user part, or the DNS names where there is no `sip:` URI.  The common
+    name is not used.
+    """
+    sip_uris = []
     for kind, value in subject_alt_name:
         scheme, _, rest = value.partition(":")
         if kind == "URI" and scheme.lower() == "sip" and rest and not set(rest) & set("@;?:/"):
-            uris.append(rest.lower())
+            sip_uris.append(rest.lower())
     if any(kind == "URI" and v.lower().startswith("sip:") for kind, v in subject_alt_name):
-        return tuple(uris)
+        return tuple(sip_uris)
     return tuple(v.lower() for kind, v in subject_alt_name if kind == "DNS" and not v.startswith("*"))
 
 
-def fault(proof: Proof, now: float, revoked: Revoked, slack: float) -> str:
-    """Why a proof does not count; empty where it does.
+def certificate_error(certificate: CertificateInfo, now: float, revoked: RevocationList, slack: float) -> str:
+    """Why a certificate is not accepted; empty where it is.
 
-    `slack` is how far two clocks may differ.  Danger: a key that was stolen works until its certificate
-    ends, or until a list names it; a host whose clock is a day off believes what has ended, or nobody.
-    Hurts, with a clock far behind the CA's, every peer whose certificate is young: the log says by how much.
+    `slack`: the allowed difference between two clocks (s).  A stolen key works until its certificate expires
+    or is on the revocation list.  A host whose clock is a day off accepts expired certificates or rejects
+    valid ones.  With a clock far behind the CA's, all recently issued certificates are rejected; the
+    difference is in the reason returned.
     """
-    if proof.serial in revoked.serials:
+    if certificate.serial in revoked.serials:
         return "revoked"
-    if now < proof.begins - slack:
-        return f"not valid for another {_span(proof.begins - now)}"
-    if now > proof.ends + slack:
-        return f"expired {_span(now - proof.ends)} ago"
-    if not proof.names:
-        return "names no SIP domain"
+    if now < certificate.not_before - slack:
+        return f"not valid for another {_duration_text(certificate.not_before - now)}"
+    if now > certificate.not_after + slack:
+        return f"expired {_duration_text(now - certificate.not_after)} ago"
+    if not certificate.names:
+        return "contains no SIP domain"
     return ""
 
 
-def warning(proof: Proof, now: float) -> str:
-    """What to say of our own certificate ahead of its end: from the last quarter of its life on."""
-    left = proof.ends - now
-    if left <= 0:
+def expiry_warning(certificate: CertificateInfo, now: float) -> str:
+    """A warning about our own certificate in the last quarter of its life, empty before that."""
+    remaining = certificate.not_after - now
+    if remaining <= 0:
         return "has expired"
-    return f"ends in {_span(left)}" if left < (proof.ends - proof.begins) / 4 else ""
+    return (
+        f"expires in {_duration_text(remaining)}"
+        if remaining < (certificate.not_after - certificate.not_before) / 4
+        else ""
+    )
 
 
-def _span(seconds: float) -> str:
+def _duration_text(seconds: float) -> str:
     for unit, name in ((DAY, "days"), (3600, "hours"), (60, "minutes")):
         if seconds >= 2 * unit:
             return f"{seconds / unit:.0f} {name}"
--- a/eiderstep/trust/rules.py
+++ b/eiderstep/trust/rules.py
@@ -1,8 +1,8 @@
-"""What each far end may say: one table, a rule for each thing said, its danger and whom it hurts.
+"""Authorisation of requests: a table with one rule for each kind of request, its threat and its cost.
 
-A rule is asked with the sender, what the message is about (an exchange's number, or -1), and whether it came
-over the connection that the thing belongs to, or surely from the same exchange.  What no rule allows is
-answered with the rule's status, counted, and changes nothing.
+The arguments of a rule are the sender, the exchange number that the message is about (or -1), and whether
+the message came over the connection to which the call belongs, or from the same exchange for certain.  A
+request that is not allowed is answered with the rule's status and counted; it changes no state.
 """
 
 from __future__ import annotations
@@ -13,28 +13,33 @@
 
 from eiderstep.trust.party import Party
 
-FORBIDDEN, UNKNOWN, SILENCE = 403, 481, 0
+FORBIDDEN, NO_SUCH_DIALOG, NO_RESPONSE = 403, 481, 0
 
 
 class Act(Enum):
-    """What can be said to a call server."""
+    """Kinds of requests and header fields that need a permission."""
 
     __hash__ = object.__hash__
 
-    ANYTHING = auto()  # to be heard at all
-    CALL = auto()  # an INVITE of a caller
-    TRANSIT = auto()  # an INVITE over a trunk group, with the circuits seized
-    CIRCUITS = auto()  # NOTIFY: circuits of a group out of service, or circuits seized without a group
-    MARKS = auto()  # redialled, cut
-    ADVICE = auto()  # where the call should go
-    CLASS = auto()  # a class that not everybody may ask for
-    WITHIN = auto()  # BYE, re-INVITE: within a dialog
-    LATE = auto()  # a 2xx to a set-up that is forgotten
+    ANYTHING = auto()  # any message at all
+    CALL = auto()  # INVITE from a caller
+    TRANSIT = auto()  # INVITE over a trunk group, with the seized circuits
+    CIRCUITS = auto()  # NOTIFY of circuits out of service, or an INVITE with circuits but no group
+    MARKS = auto()  # marking a call as redialled or cut
+    ADVICE = auto()  # proposing a tandem for the call
+    CLASS = auto()  # requesting a call class
+    WITHIN = auto()  # BYE, CANCEL, re-INVITE: requests on an existing call
+    LATE = auto()  # a 2xx to a set-up whose state is already removed
 
 
 @dataclass(frozen=True, slots=True)
 class Rule:
-    """`allows(sender, about, own)`; `status` answers what is not allowed, `SILENCE` where nothing may be."""
+    """A rule for one kind of request.
+
+    `allows(sender, about, own)`: see the module.  `status`: the answer to a request that is not allowed;
+    NO_RESPONSE where it must not be answered.  `danger`: the threat that the rule averts.  `hurts`: the
+    legitimate traffic that it refuses.
+    """
 
     status: int
     allows: Callable[[Party, int, bool], bool]
@@ -45,64 +50,66 @@
 RULES: dict[Act, Rule] = {
     Act.ANYTHING: Rule(
         FORBIDDEN,
-        lambda who, about, own: who.known,
-        "a stranger costs work and memory with each message, and finds out what is here",
-        "who is not in the settings yet: callers from a new network, an exchange with a new address",
+        lambda sender, about, own: sender.known,
+        "an unknown sender takes processing time and memory with each message, and can explore the server",
+        "peers that are not in the settings yet: callers from a new network, an exchange with a new address",
     ),
     Act.CALL: Rule(
         FORBIDDEN,
-        lambda who, about, own: who.caller is not None,
-        "an exchange's key, or a stranger, makes calls that no member answers for",
-        "an exchange that passes its subscribers' calls on without a trunk group",
+        lambda sender, about, own: sender.caller is not None,
+        "an exchange or an unknown sender originates calls for which no configured caller is responsible",
+        "an exchange that passes on its subscribers' calls without a trunk group",
     ),
     Act.TRANSIT: Rule(
         FORBIDDEN,
-        lambda who, about, own: about in who.exchanges,
-        "circuits of somebody else's group are seized: its calls find none, its ledgers differ",
-        "an exchange whose address or name the settings do not have",
+        lambda sender, about, own: about in sender.exchanges,
+        "circuits of another exchange's group are seized: its calls are blocked, its circuit states differ",
+        "an exchange whose address or identity is not in the settings",
     ),
     Act.CIRCUITS: Rule(
         FORBIDDEN,
-        lambda who, about, own: about in who.exchanges,
+        lambda sender, about, own: about in sender.exchanges,
         "one message takes a whole group out of service and cuts its calls",
-        "a management system that speaks for many exchanges: it needs a key for each",
+        "a management system that acts for many exchanges: it needs a key for each of them",
     ),
     Act.MARKS: Rule(
         FORBIDDEN,
-        lambda who, about, own: bool(who.exchanges) or (who.caller is not None and who.caller.marks),
-        "a call is treated as one that was cut, or is left out of the measured load",
-        "callers whose equipment marks redials while their entry says that it does not",
+        lambda sender, about, own: (
+            bool(sender.exchanges) or (sender.caller is not None and sender.caller.marks)
+        ),
+        "a call is treated as cut before, or is not counted in the measured load",
+        "callers whose equipment marks redials, but whose entry in the settings does not allow it",
     ),
     Act.ADVICE: Rule(
         FORBIDDEN,
-        lambda who, about, own: who.caller is not None and who.caller.advice,
-        "calls are led over a tandem of the sender's choice, which fills it",
-        "a routing centre that has no entry",
+        lambda sender, about, own: sender.caller is not None and sender.caller.advice,
+        "calls are routed over a tandem chosen by the sender, which becomes overloaded",
+        "a routing centre without an entry in the settings",
     ),
     Act.CLASS: Rule(
         FORBIDDEN,
-        lambda who, about, own: (
-            bool(who.exchanges) or (who.caller is not None and (own or not who.caller.classes))
+        lambda sender, about, own: (
+            bool(sender.exchanges) or (sender.caller is not None and (own or not sender.caller.classes))
         ),
-        "a dearer class is asked for and served before honest calls of a cheaper one",
-        "a member that is to use one more class: its entry must name it",
+        "calls of a class with higher worth than the caller is entitled to take precedence over other calls",
+        "a caller that starts to use another class: its entry in the settings must name it",
     ),
     Act.WITHIN: Rule(
-        UNKNOWN,
-        lambda who, about, own: own,
-        "whoever learns or guesses a call's marks ends it; a 403 would tell that the call exists",
-        "a caller that lost its connection and comes back over another: its calls were cut with it",
+        NO_SUCH_DIALOG,
+        lambda sender, about, own: own,
+        "a sender that learns or guesses a call's identifiers ends it; a 403 would reveal the call",
+        "a caller that reconnects after its connection was lost: its calls were cut with the connection",
     ),
     Act.LATE: Rule(
-        SILENCE,
-        lambda who, about, own: own and bool(who.exchanges),
-        "each forged 200 makes us write an ACK and a BYE and keep a transaction for 64 x T1",
-        "a far end that answers a forgotten set-up over another connection: its call stands until it ends it",
+        NO_RESPONSE,
+        lambda sender, about, own: own and bool(sender.exchanges),
+        "each forged 200 causes an ACK and a BYE and keeps a transaction for 64 x T1",
+        "an exchange that answers a removed set-up over another connection: its call stands until released",
     ),
 }
 
 
-def refusal(act: Act, who: Party, about: int = -1, own: bool = False) -> Rule | None:
+def refusal(act: Act, sender: Party, about: int = -1, own: bool = False) -> Rule | None:
     """The rule that forbids this, or None where it is allowed."""
     rule = RULES[act]
-    return None if rule.allows(who, about, own) else rule
+    return None if rule.allows(sender, about, own) else rule
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -17,8 +17,8 @@
 from eiderstep.sip.message import request, split_address
 from eiderstep.sip.parser import Parser
 from eiderstep.standin.callers import Callers, Manners
-from eiderstep.trust.limits import SOURCES, STRANGERS, Limiter, Verdict
-from eiderstep.trust.pace import REMEMBERED, Thinner
+from eiderstep.trust.limits import MAX_SOURCES, UNKNOWN_RATE_DIVISOR, SourceLimiter, Verdict
+from eiderstep.trust.pace import MAX_KEYS, Thinner
 from tests.test_server import PLAIN, Log, on_virtual_loop, pair
 
 SECOND = 1_000_000_000
@@ -26,106 +26,119 @@
 
 
 def test_connections_of_one_source_and_those_that_say_nothing() -> None:
-    one = Limiter(SMALL, 100)
-    assert [one.connect(0, n, "a", False, True) for n in (1, 2)] == ["", ""]
-    assert one.connect(0, 3, "a", False, True) == "too many silent connections of one source"
+    limiter = SourceLimiter(SMALL, 100)
+    assert [limiter.admit_connection(0, n, "a", False, True) for n in (1, 2)] == ["", ""]
+    assert limiter.admit_connection(0, 3, "a", False, True) == "too many silent connections of one source"
     for n in (1, 2):
-        one.spoke(n)
-    assert [one.connect(0, n, "a", False, True) for n in (3, 4)] == ["", ""]
+        limiter.mark_active(n)
+    assert [limiter.admit_connection(0, n, "a", False, True) for n in (3, 4)] == ["", ""]
     for n in (3, 4):
-        one.spoke(n)
-    assert one.connect(0, 5, "a", False, True) == "too many connections of one source"
-    assert one.connect(0, 6, "b", False, True) == "", "another source has its own"
+        limiter.mark_active(n)
+    assert limiter.admit_connection(0, 5, "a", False, True) == "too many connections of one source"
+    assert limiter.admit_connection(0, 6, "b", False, True) == "", "another source has its own"
     for _ in range(2):
-        one.closed(1)
-    assert one.connect(0, 7, "a", False, True) == ""
+        limiter.connection_closed(1)
+    assert limiter.admit_connection(0, 7, "a", False, True) == ""
 
 
 def test_exchanges_keep_a_reserved_share() -> None:
-    one = Limiter(SourceLimits(reserved=0.5), 10)
-    assert [one.connect(0, n, f"s{n}", False, False) for n in range(6)] == [""] * 5 + ["too many connections"]
-    assert [one.connect(0, 10 + n, "x", True, True) for n in range(6)] == [""] * 5 + ["too many connections"]
-    one.closed(0)
-    assert one.connect(0, 20, "x", True, True) == ""
+    limiter = SourceLimiter(SourceLimits(reserved=0.5), 10)
+    assert [limiter.admit_connection(0, n, f"s{n}", False, False) for n in range(6)] == [""] * 5 + [
+        "too many connections"
+    ]
+    assert [limiter.admit_connection(0, 10 + n, "x", True, True) for n in range(6)] == [""] * 5 + [
+        "too many connections"
+    ]
+    limiter.connection_closed(0)
+    assert limiter.admit_connection(0, 20, "x", True, True) == ""
 
 
 def test_over_its_rate_a_source_is_told_to_come_back_and_then_read_slowly() -> None:
-    one = Limiter(SMALL, 100)
-    one.connect(0, 1, "a", False, True)
-    assert [one.message(0, 1) for _ in range(10)] == [Verdict.TAKE] * 10
-    assert [one.message(0, 1) for _ in range(10)] == [Verdict.REFUSE] * 10
-    assert one.message(0, 1) is Verdict.SLOW and SECOND <= one.wait(1) < 2 * SECOND
-    assert 2 * SECOND <= one.come_back(1) < 3 * SECOND
-    assert one.message(one.come_back(1), 1) is Verdict.TAKE, "who heeds it is taken"
-    assert one.message(99, 7) is Verdict.TAKE, "a link that we dialled"
+    limiter = SourceLimiter(SMALL, 100)
+    limiter.admit_connection(0, 1, "a", False, True)
+    assert [limiter.check_message(0, 1) for _ in range(10)] == [Verdict.TAKE] * 10
+    assert [limiter.check_message(0, 1) for _ in range(10)] == [Verdict.REFUSE] * 10
+    assert limiter.check_message(0, 1) is Verdict.SLOW and SECOND <= limiter.read_pause(1) < 2 * SECOND
+    assert 2 * SECOND <= limiter.retry_after(1) < 3 * SECOND
+    assert limiter.check_message(limiter.retry_after(1), 1) is Verdict.TAKE, "who heeds it is taken"
+    assert limiter.check_message(99, 7) is Verdict.TAKE, "a link that we dialled"
 
 
 def test_handshakes_draw_on_the_rate_of_their_address() -> None:
-    one = Limiter(SourceLimits(messages=10), 100)
-    one.spoke(77)  # a link that we dialled is in no book
-    said = [one.connect(0, n, "a", False, True, handshake=True) for n in range(4)]
+    limiter = SourceLimiter(SourceLimits(messages=10), 100)
+    limiter.mark_active(77)  # a link that we dialled is in no book
+    said = [limiter.admit_connection(0, n, "a", False, True, handshake=True) for n in range(4)]
     assert said == ["", "", "too many handshakes of one source", "too many handshakes of one source"]
-    assert one.connect(0, 8, "a", False, True) == "", "a plain connection costs nothing yet"
-    assert one.connect(0, 9, "x", True, True, handshake=True) == ""
-    assert one.connect(2 * SECOND, 10, "a", False, True, handshake=True) == "", "and a second later"
+    assert limiter.admit_connection(0, 8, "a", False, True) == "", "a plain connection costs nothing yet"
+    assert limiter.admit_connection(0, 9, "x", True, True, handshake=True) == ""
+    assert limiter.admit_connection(2 * SECOND, 10, "a", False, True, handshake=True) == "", (
+        "and a second later"
+    )
 
 
 def test_one_pause_for_all_connections_of_a_source_that_are_closed_together() -> None:
-    one = Limiter(SMALL, 100)
+    limiter = SourceLimiter(SMALL, 100)
     for n in (1, 2):
-        one.connect(0, n, "a", False, True)
-    assert [one.fault(0, 1, False) for _ in range(3)][-1] is Verdict.CLOSE
-    assert one.fault(0, 2, False) is Verdict.CLOSE and one.sources["a"].until == SECOND
-    assert one.sources["a"].pause == 2 * SECOND
+        limiter.admit_connection(0, n, "a", False, True)
+    assert [limiter.record_fault(0, 1, False) for _ in range(3)][-1] is Verdict.CLOSE
+    assert limiter.record_fault(0, 2, False) is Verdict.CLOSE and limiter.sources["a"].paused_until == SECOND
+    assert limiter.sources["a"].pause == 2 * SECOND
 
 
 def test_an_exchange_is_never_read_slowly_and_never_closed() -> None:
-    one = Limiter(SMALL, 100)
-    one.connect(0, 1, "x", True, True)
-    assert {one.message(0, 1) for _ in range(1000)} == {Verdict.TAKE, Verdict.REFUSE}
-    assert {one.fault(0, 1, False) for _ in range(1000)} == {Verdict.TAKE}
+    limiter = SourceLimiter(SMALL, 100)
+    limiter.admit_connection(0, 1, "x", True, True)
+    assert {limiter.check_message(0, 1) for _ in range(1000)} == {Verdict.TAKE, Verdict.REFUSE}
+    assert {limiter.record_fault(0, 1, False) for _ in range(1000)} == {Verdict.TAKE}
 
 
 def test_a_stranger_has_a_fraction_of_the_rate() -> None:
-    one = Limiter(SourceLimits(messages=16 * STRANGERS), 100)
-    one.connect(0, 1, "s", False, False)
-    assert [one.message(0, 1) for _ in range(17)] == [Verdict.TAKE] * 16 + [Verdict.REFUSE]
+    limiter = SourceLimiter(SourceLimits(messages=16 * UNKNOWN_RATE_DIVISOR), 100)
+    limiter.admit_connection(0, 1, "s", False, False)
+    assert [limiter.check_message(0, 1) for _ in range(17)] == [Verdict.TAKE] * 16 + [Verdict.REFUSE]
 
 
 def test_faults_close_idle_connections_and_pause_their_source_ever_longer() -> None:
-    one = Limiter(SMALL, 100)
+    limiter = SourceLimiter(SMALL, 100)
     now, paused = 0, []
     for _ in range(8):
-        assert one.connect(now, 1, "a", False, True) == ""
-        while one.fault(now, 1, False) is not Verdict.CLOSE:
+        assert limiter.admit_connection(now, 1, "a", False, True) == ""
+        while limiter.record_fault(now, 1, False) is not Verdict.CLOSE:
             pass
-        one.closed(1)
-        assert one.connect(now, 2, "a", False, True) == "source paused"
-        assert one.connect(now, 3, "b", False, True) == "", "another source"
-        one.closed(3)
-        paused.append(one.sources["a"].until - now)
-        now = one.sources["a"].until
+        limiter.connection_closed(1)
+        assert limiter.admit_connection(now, 2, "a", False, True) == "source paused"
+        assert limiter.admit_connection(now, 3, "b", False, True) == "", "another source"
+        limiter.connection_closed(3)
+        paused.append(limiter.sources["a"].paused_until - now)
+        now = limiter.sources["a"].paused_until
     assert paused == [n * SECOND for n in (1, 2, 4, 8, 16, 32, 64, 64)]
     now += 301 * SECOND
-    one.connect(now, 1, "a", False, True)
-    assert [one.fault(now, 1, False) for _ in range(3)] == [Verdict.TAKE, Verdict.TAKE, Verdict.CLOSE]
-    assert one.sources["a"].until - now == SECOND, "forgiven"
+    limiter.admit_connection(now, 1, "a", False, True)
+    assert [limiter.record_fault(now, 1, False) for _ in range(3)] == [
+        Verdict.TAKE,
+        Verdict.TAKE,
+        Verdict.CLOSE,
+    ]
+    assert limiter.sources["a"].paused_until - now == SECOND, "forgiven"
 
 
 def test_a_connection_on_which_calls_stand_is_not_closed_for_faults() -> None:
-    one = Limiter(SMALL, 100)
-    one.connect(0, 1, "a", False, True)
-    assert {one.fault(0, 1, True) for _ in range(100)} == {Verdict.TAKE}
-    assert one.fault(0, 1, False) is Verdict.CLOSE and one.fault(0, 9, False) is Verdict.TAKE
+    limiter = SourceLimiter(SMALL, 100)
+    limiter.admit_connection(0, 1, "a", False, True)
+    assert {limiter.record_fault(0, 1, True) for _ in range(100)} == {Verdict.TAKE}
+    assert (
+        limiter.record_fault(0, 1, False) is Verdict.CLOSE
+        and limiter.record_fault(0, 9, False) is Verdict.TAKE
+    )
 
 
 def test_sources_are_forgotten_but_not_those_with_connections() -> None:
-    one = Limiter(SourceLimits(), 100_000)
-    one.connect(0, 1, "stays", False, True)
-    for n in range(3 * SOURCES):
-        one.connect(0, 2, f"s{n}", False, False)
-        one.closed(2)
-    assert len(one.sources) <= SOURCES and "stays" in one.sources
+    limiter = SourceLimiter(SourceLimits(), 100_000)
+    limiter.admit_connection(0, 1, "stays", False, True)
+    for n in range(3 * MAX_SOURCES):
+        limiter.admit_connection(0, 2, f"s{n}", False, False)
+        limiter.connection_closed(2)
+    assert len(limiter.sources) <= MAX_SOURCES and "stays" in limiter.sources
 
 
 @settings(max_examples=200)
@@ -135,38 +148,38 @@
     )
 )
 def test_the_books_of_connections_are_exact(steps: list[tuple[int, int, str, bool]]) -> None:
-    one, now = Limiter(SMALL, 6), 0
+    limiter, now = SourceLimiter(SMALL, 6), 0
     open_flows: dict[int, tuple[str, bool, bool]] = {}
     for what, flow, name, exchange in steps:
         now += SECOND // 7
         if what < 2 and flow not in open_flows:
-            if one.connect(now, flow, name, exchange, True) == "":
+            if limiter.admit_connection(now, flow, name, exchange, True) == "":
                 open_flows[flow] = (name, exchange, False)
         elif what == 2 and flow in open_flows:
-            one.spoke(flow)
+            limiter.mark_active(flow)
             open_flows[flow] = (*open_flows[flow][:2], True)
         elif what == 3:
-            one.closed(flow)
+            limiter.connection_closed(flow)
             open_flows.pop(flow, None)
         elif what == 4:
-            one.message(now, flow)
+            limiter.check_message(now, flow)
         else:
-            one.fault(now, flow, False)
-    assert set(one.flows) == set(open_flows)
-    assert one.others == sum(not exchange for _, exchange, _ in open_flows.values()) <= 3
-    for name, source in one.sources.items():
+            limiter.record_fault(now, flow, False)
+    assert set(limiter.flows) == set(open_flows)
+    assert limiter.non_exchange_flows == sum(not exchange for _, exchange, _ in open_flows.values()) <= 3
+    for name, source in limiter.sources.items():
         mine = [spoken for n, _, spoken in open_flows.values() if n == name]
-        assert (source.flows, source.waiting) == (len(mine), mine.count(False))
+        assert (source.flows, source.silent_flows) == (len(mine), mine.count(False))
 
 
 def test_lines_of_one_event_and_source_come_at_a_bounded_rate_with_a_count() -> None:
-    thin = Thinner(burst=3, period=SECOND)
-    assert [thin.line(n, "a") for n in range(6)] == [0, 0, 0, -1, -1, -1]
-    assert thin.line(5, "b") == 0
-    assert thin.line(SECOND, "a") == 3 and thin.line(SECOND, "a") == 0
+    limiter = Thinner(burst=3, period=SECOND)
+    assert [limiter.line(n, "a") for n in range(6)] == [0, 0, 0, -1, -1, -1]
+    assert limiter.line(5, "b") == 0
+    assert limiter.line(SECOND, "a") == 3 and limiter.line(SECOND, "a") == 0
     for n in range(5000):
-        thin.line(n, n)
-    assert len(thin.seen) <= REMEMBERED
+        limiter.line(n, n)
+    assert len(limiter.windows) <= MAX_KEYS
 
 
 # -- a call server under floods ------------------------------------------------------------------------------
@@ -272,4 +285,4 @@
         exchange.die()
 
     on_virtual_loop(run(), loop)
-    assert ("unfinished message" in log.events()) is bool(tail)
+    assert ("connection closed with incomplete message" in log.events()) is bool(tail)
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -135,7 +135,7 @@
         server = CallServer(loop, replace_struct(SETTINGS, peers=[peer]), log)
         await server.start()
         await asyncio.sleep(5)
-        assert server.engine is not None and not server.engine.links and server.dials
+        assert server.engine is not None and not server.engine.links and server.dial_tasks
         server.kill()
 
     on_virtual_loop(run(), loop)
@@ -242,14 +242,14 @@
 
     async def run() -> None:
         server, exchange = await pair(loop, log, udp_too=True, limits=Limits(connections=100))
-        assert server.datagrams is not None
+        assert server.datagram_socket is not None
         options = request(
             "OPTIONS", "sip:x", via="SIP/2.0/UDP p;branch=z9hG4bKo", sender="<sip:p@p>;tag=p", to="<sip:x@x>",
             call_id="o", cseq=1,
         )  # fmt: skip
         for n in range(5000):
             options.set("via", f"SIP/2.0/UDP p;branch=z9hG4bK{n}")
-            server.datagrams.datagram_received(options.encode(), ("127.0.0.1", 30000 + n))
+            server.datagram_socket.datagram_received(options.encode(), ("127.0.0.1", 30000 + n))
             if n % 50 == 49:
                 await asyncio.sleep(40)  # past 64 x T1: the transactions are over
         assert len(server.datagram_flows) == len(server.datagram_peers) <= 101
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -32,8 +32,15 @@
 from eiderstep.sip.parser import Parser
 from eiderstep.standin.callers import Callers, Class, Manners
 from eiderstep.standin.exchange import Exchange, Plant
-from eiderstep.trust.authority import Authority, check_private, read_list
-from eiderstep.trust.proof import KeysError, Proof, Revoked, fault, sip_names, warning
+from eiderstep.trust.authority import Authority, check_key_permissions, read_crl
+from eiderstep.trust.proof import (
+    CertificateInfo,
+    KeysError,
+    RevocationList,
+    certificate_error,
+    expiry_warning,
+    sip_names,
+)
 from tests.test_server import Log, on_virtual_loop
 
 SECOND = 1_000_000_000
@@ -61,32 +68,32 @@
     assert sip_names(listed) == names
 
 
-P = Proof(("x1.t",), 7, 1000.0, 2000.0)
+P = CertificateInfo(("x1.t",), 7, 1000.0, 2000.0)
 
 
 @pytest.mark.parametrize(
     ("proof", "now", "revoked", "word"),
     [
-        (P, 1500, Revoked(), ""),
-        (P, 940, Revoked(), ""),
-        (P, 2060, Revoked(), ""),
-        (P, 939, Revoked(), "not valid for another"),
-        (P, 2061, Revoked(), "expired"),
-        (P, 1500 - 86_400, Revoked(), "not valid for another 24 hours"),
-        (P, 1500 + 86_400, Revoked(), "expired 24 hours ago"),
-        (P, 1500, Revoked(frozenset([7])), "revoked"),
-        (P, 1500, Revoked(frozenset([8])), ""),
-        (Proof((), 7, 1000, 2000), 1500, Revoked(), "names no SIP domain"),
+        (P, 1500, RevocationList(), ""),
+        (P, 940, RevocationList(), ""),
+        (P, 2060, RevocationList(), ""),
+        (P, 939, RevocationList(), "not valid for another"),
+        (P, 2061, RevocationList(), "expired"),
+        (P, 1500 - 86_400, RevocationList(), "not valid for another 24 hours"),
+        (P, 1500 + 86_400, RevocationList(), "expired 24 hours ago"),
+        (P, 1500, RevocationList(frozenset([7])), "revoked"),
+        (P, 1500, RevocationList(frozenset([8])), ""),
+        (CertificateInfo((), 7, 1000, 2000), 1500, RevocationList(), "contains no SIP domain"),
     ],
 )
-def test_when_a_proof_counts(proof: Proof, now: float, revoked: Revoked, word: str) -> None:
-    said = fault(proof, now, revoked, 60.0)
+def test_when_a_proof_counts(proof: CertificateInfo, now: float, revoked: RevocationList, word: str) -> None:
+    said = certificate_error(proof, now, revoked, 60.0)
     assert said.startswith(word) and bool(said) is bool(word)
 
 
 def test_an_end_is_told_from_the_last_quarter_on() -> None:
-    assert [bool(warning(P, now)) for now in (1700, 1751, 2001)] == [False, True, True]
-    assert warning(P, 2001) == "has expired"
+    assert [bool(expiry_warning(P, now)) for now in (1700, 1751, 2001)] == [False, True, True]
+    assert expiry_warning(P, 2001) == "has expired"
 
 
 # -- the authority -------------------------------------------------------------------------------------------
@@ -101,11 +108,11 @@
     assert [oct((tmp_path / "ca" / n).stat().st_mode)[-3:] for n in ("ca.key", "x1.t.key", "x1.t.pem")] == [
         "600", "600", "644",
     ]  # fmt: skip
-    assert read_list(tmp_path / "ca" / "crl.pem", tmp_path / "ca" / "ca.pem").serials == frozenset()
+    assert read_crl(tmp_path / "ca" / "crl.pem", tmp_path / "ca" / "ca.pem").serials == frozenset()
     gone = made.revoke("x1.t", NOW + 20)
-    listed = read_list(tmp_path / "ca" / "crl.pem", tmp_path / "ca" / "ca.pem")
+    listed = read_crl(tmp_path / "ca" / "crl.pem", tmp_path / "ca" / "ca.pem")
     assert listed.serials == {int(r.serial, 16) for r in gone} and len(gone) == 2
-    assert listed.until == NOW + 20 + 86_400
+    assert listed.next_update == NOW + 20 + 86_400
     assert [p.name for p in (tmp_path / "ca").iterdir() if p.name.startswith(".")] == []
 
 
@@ -119,10 +126,10 @@
         lambda: made.issue("x1.t", NOW, hours=0),
         lambda: made.issue("x1.t", NOW + 2 * 86_400),
         lambda: made.revoke("nobody", NOW),
-        lambda: read_list(other.folder / "crl.pem", made.folder / "ca.pem"),
-        lambda: read_list(made.folder / "ca.pem", made.folder / "ca.pem"),
+        lambda: read_crl(other.folder / "crl.pem", made.folder / "ca.pem"),
+        lambda: read_crl(made.folder / "ca.pem", made.folder / "ca.pem"),
         lambda: Authority(tmp_path / "none").rows(),
-        lambda: check_private(tmp_path / "none"),
+        lambda: check_key_permissions(tmp_path / "none"),
     ):
         with pytest.raises(KeysError) as caught:
             wrong()
@@ -185,51 +192,53 @@
     made = Authority.make(tmp_path, "test", NOW)
     made.issue("x0.t", NOW), made.issue("x1.t", NOW)
     zero, one = keys_of(tmp_path, "x0.t"), keys_of(tmp_path, "x1.t")
-    client, server = Tls(zero.client, False), Tls(one.server, True)
+    client, server = Tls(zero.client, False), Tls(one.server_context, True)
     shake(client, server)
-    assert client.done and server.done and not client.failed + server.failed
-    assert client.proof().names == ("x1.t",) and server.proof().names == ("x0.t",)
+    assert client.done and server.done and not client.failure + server.failure
+    assert client.peer_certificate().names == ("x1.t",) and server.peer_certificate().names == ("x0.t",)
     assert server.feed(client.write(b"a" * 200_000)) == b"a" * 200_000
     assert client.feed(server.write(b"b")) == b"b"
-    zero.remember("there", client)
-    again, far = Tls(zero.client, False, zero.sessions["there"]), Tls(one.server, True)
+    zero.save_session("there", client)
+    again, far = Tls(zero.client, False, zero.sessions["there"]), Tls(one.server_context, True)
     shake(again, far)
     assert again.resumed and far.resumed, "half the work"
-    assert far.proof() == server.proof(), "a resumed session shows the same certificate, judged anew"
-    far.feed(again.end())
+    assert far.peer_certificate() == server.peer_certificate(), (
+        "a resumed session shows the same certificate, judged anew"
+    )
+    far.feed(again.close_notify())
     assert far.closed
     zero.load()
-    zero.remember("there", again)
+    zero.save_session("there", again)
     assert not zero.sessions, "a session of keys that are no more is not kept"
 
 
 def test_the_codec_refuses(tmp_path: Path) -> None:
     made, other = Authority.make(tmp_path / "a", "test", NOW), Authority.make(tmp_path / "b", "test", NOW)
     made.issue("x0.t", NOW), other.issue("x1.t", NOW)
-    server = keys_of(made.folder, "x0.t").server
+    server = keys_of(made.folder, "x0.t").server_context
     wrong_ca = Tls(keys_of(other.folder, "x1.t", made.folder).client, False)
     far = Tls(server, True)
     shake(wrong_ca, far)
-    assert far.failed and not far.done, "a CA of the same name, but not ours"
+    assert far.failure and not far.done, "a CA of the same name, but not ours"
     bare = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
     bare.check_hostname, bare.verify_mode = False, ssl.CERT_NONE
     far = Tls(server, True)
     shake(Tls(bare, False), far)
-    assert "did not return a certificate" in far.failed and not far.done
+    assert "did not return a certificate" in far.failure and not far.done
     old = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
     old.check_hostname, old.verify_mode = False, ssl.CERT_NONE
     old.minimum_version, old.maximum_version = ssl.TLSVersion.TLSv1, ssl.TLSVersion.TLSv1_1
     old.set_ciphers("ALL:@SECLEVEL=0")
     far = Tls(server, True)
     shake(Tls(old, False), far)
-    assert far.failed and not far.done, "nothing below TLS 1.2"
+    assert far.failure and not far.done, "nothing below TLS 1.2"
     far = Tls(server, True)
     far.feed(b"INVITE sip:a@b SIP/2.0\r\n\r\n")
-    assert far.failed and not far.done, "plain words on the port for TLS"
+    assert far.failure and not far.done, "plain words on the port for TLS"
     far = Tls(server, True)
     for _ in range(20):
         far.feed(b"\x16\x03\x01\x3f\xff" + b"\x01\x00\xff\xff" + b"\0" * 16379)
-    assert far.failed and not far.feed(b"x")
+    assert far.failure and not far.feed(b"x")
 
 
 def test_keys_of_no_use_are_named_and_never_shown(tmp_path: Path) -> None:
@@ -237,13 +246,13 @@
     made.issue("x0.t", NOW), made.issue("x1.t", NOW)
     secret = (tmp_path / "x0.t.key").read_text().splitlines()[1]
     keys = keys_of(tmp_path, "x0.t")
-    was = keys.server
+    was = keys.server_context
     os.replace(tmp_path / "x1.t.key", tmp_path / "x0.t.key")
-    assert keys.changed()
+    assert keys.files_changed()
     with pytest.raises(KeysError) as caught:
         keys.load()
     assert "x0.t.key" in str(caught.value) and secret not in str(caught.value)
-    assert keys.server is was, "what was good stays in force"
+    assert keys.server_context is was, "what was good stays in force"
     os.chmod(tmp_path / "x0.t.key", 0o644)
     with pytest.raises(KeysError, match="others can read it"):
         keys.load()
@@ -323,7 +332,7 @@
     def events(self, number: int) -> list[str]:
         return self.logs[number].events()
 
-    def why(self, number: int, event: str = "not proven") -> str:
+    def why(self, number: int, event: str = "peer not authenticated") -> str:
         return "; ".join(str(f.get("why")) for e, f in self.logs[number].lines if e == event)
 
     async def knock(
@@ -333,7 +342,7 @@
         """Connect to a server with that key."""
         server = self.servers[number]
         context = None if plain else keys_of(folder, stem, ca or self.folder).client
-        where, port = split_address(server.address if plain else server.secure_address)
+        where, port = split_address(server.address if plain else server.tls_address)
         _, one = await self.loop.create_connection(
             lambda: Knocker(context), where, port, local_addr=(host, 0)
         )
@@ -407,14 +416,14 @@
         assert await calls(site, 5) == ["stands"] * 5 == await calls(site, 5, 1, 0)
         server = site.servers[0]
         assert server.engine is not None and all(
-            f in server.proofs
+            f in server.peer_certificates
             for f in server.engine.links.values()
-            if f in [w.flow for w in server.wires.values() if w.tls]
+            if f in [w.flow for w in server.connections.values() if w.tls]
         )
-        assert sum(w.tls is not None for w in server.wires.values()) == 2, "one dialled, one taken"
+        assert sum(w.tls is not None for w in server.connections.values()) == 2, "one dialled, one taken"
 
     site = play(tmp_path, run)
-    assert "not proven" not in site.events(0) + site.events(1)
+    assert "peer not authenticated" not in site.events(0) + site.events(1)
 
 
 KNOCKS: dict[str, tuple[Callable[[Site, Path], tuple[Path, str]], str]] = {
@@ -440,7 +449,7 @@
     site.ca.issue("x1.t", NOW, stem="gone")
     serial = site.ca.rows()[-1].serial
     site.ca.revoke(serial, NOW)
-    site.servers[0].rekey()
+    site.servers[0].reload_credentials()
     return site.ca
 
 
@@ -490,7 +499,7 @@
         site.stem = lambda number: f"x{number}.t" if number == 0 else "x7.t"  # type: ignore[method-assign]
         await site.start()
         assert await calls(site, 2) != ["stands"] * 2
-        assert "proves x7.t; allowed at this address: x1.t" in site.why(0)
+        assert "found identity x7.t; allowed at this address: x1.t" in site.why(0)
         assert "settings do not name" in site.why(1) or site.why(1) == ""
 
     play(tmp_path, run)
@@ -499,14 +508,14 @@
 def test_a_handshake_that_never_ends_is_ended(tmp_path: Path) -> None:
     async def run(site: Site) -> None:
         await site.start()
-        where, port = split_address(site.servers[0].secure_address)
+        where, port = split_address(site.servers[0].tls_address)
         idle = [await site.loop.create_connection(lambda: Knocker(None), where, port) for _ in range(80)]
         for transport, _ in idle[::2]:
             transport.write(b"\x16\x03\x01\x02\x00")
         assert await calls(site, 3) == ["stands"] * 3
         await asyncio.sleep(4)
-        assert all(one.lost for _, one in idle) and not site.servers[0].knocking
-        assert "its handshake did not end" in site.why(0)
+        assert all(one.lost for _, one in idle) and not site.servers[0].handshaking
+        assert "handshake timed out" in site.why(0)
 
     site = play(tmp_path, run)
     assert "too many silent connections of one source" in site.events(0)
@@ -528,14 +537,17 @@
         finals = [c.finals for c in site.callers]
         assert [a.outcome for a in asks] == ["stands"] * len(asks), (finals, [log.lines for log in site.logs])
         for number, server in enumerate(site.servers):
-            assert site.events(number).count("keys read") == 1 and server.keys is not None
+            assert site.events(number).count("keys read") == 1 and server.credentials is not None
             assert server.engine is not None
             for address, flow in server.engine.links.items():
-                if flow in server.proofs:
+                if flow in server.peer_certificates:
                     far = next(p.number for p in server.settings.peers if p.address == address)
-                    assert server.proofs[flow].serial == site.servers[far].keys.own.serial, "the new one"  # type: ignore[union-attr]
+                    assert (
+                        server.peer_certificates[flow].serial
+                        == site.servers[far].credentials.own_certificate.serial  # type: ignore[union-attr]
+                    ), "the link uses the renewed certificate"
         await asyncio.sleep(400)
-        assert all(not s.retired and not s.engine.calls for s in site.servers if s.engine), (
+        assert all(not s.replaced_flows and not s.engine.calls for s in site.servers if s.engine), (
             "old links are gone"
         )
         assert all(a.outcome == "stands" and not a.cut for a in asks)
@@ -560,7 +572,7 @@
         await asyncio.sleep(1.5)
         assert not engine.ledgers[1].busy, "no circuit stays busy"
         assert not any(a.cut for a in other) and sum(a.cut for a in mine) > 150
-        assert "revoked" in site.why(0, "no longer proven") and "revoked" in site.why(0)
+        assert "revoked" in site.why(0, "peer certificate no longer accepted") and "revoked" in site.why(0)
         assert await calls(site, 3, 0, 2) == ["stands"] * 3
 
     play(tmp_path, run)
@@ -573,7 +585,9 @@
         await asyncio.sleep(45)
         site.ca.issue(site.stem(0), site.epoch(), 1)
         await asyncio.sleep(80)
-        assert "expired" in site.why(0, "no longer proven") and "ends in" in str(site.logs[1].lines)
+        assert "expired" in site.why(0, "peer certificate no longer accepted") and "expires in" in str(
+            site.logs[1].lines
+        )
         assert await calls(site, 1) != ["stands"]
         site.ca.issue(site.stem(1), site.epoch(), 1)
         await asyncio.sleep(5)
@@ -587,7 +601,7 @@
         await site.start()
         site.servers[0].epoch = lambda: int((site.epoch() + 2 * 86_400) * 1000)
         await asyncio.sleep(2)
-        assert "expired 24 hours ago" in site.why(0, "no longer proven")
+        assert "expired 24 hours ago" in site.why(0, "peer certificate no longer accepted")
         site.servers[0].epoch = lambda: int(site.epoch() * 1000)
         await asyncio.sleep(4)
         assert await calls(site, 2) == ["stands"] * 2, "and is back once the clock is right"
--- a/tests/test_trust.py
+++ b/tests/test_trust.py
@@ -93,55 +93,79 @@
 
 
 def test_a_plain_link_is_who_connects_from_the_address_that_the_settings_name() -> None:
-    b = book()
-    assert b.at("10.0.0.1").exchanges == b.at("10.0.1.1").exchanges == {1}
-    assert b.at("::ffff:10.0.0.1").exchanges == {1}, "as a dual-stack socket shows it"
-    assert b.at("10.0.0.2").exchanges == {2, 3} and b.at("10.0.0.2").exchange == -1
-    hall, wide = b.at("10.9.3.4").caller, b.at("10.0.0.1").caller
+    directory = book()
+    assert directory.by_address("10.0.0.1").exchanges == directory.by_address("10.0.1.1").exchanges == {1}
+    assert directory.by_address("::ffff:10.0.0.1").exchanges == {1}, "as a dual-stack socket shows it"
+    assert (
+        directory.by_address("10.0.0.2").exchanges == {2, 3}
+        and directory.by_address("10.0.0.2").exchange == -1
+    )
+    hall, wide = directory.by_address("10.9.3.4").caller, directory.by_address("10.0.0.1").caller
     assert hall is not None and hall.name == "hall" and wide is not None and wide.name == "wide"
-    assert b.at("fd00::1").caller is not None and b.at("192.168.0.1") == Party(source="192.168.0.1")
-    assert not b.at("not an address").known
-    assert not book(plain_exchanges=False).at("10.0.0.1").exchanges, "keys alone"
+    assert directory.by_address("fd00::1").caller is not None and directory.by_address(
+        "192.168.0.1"
+    ) == Party(source="192.168.0.1")
+    assert not directory.by_address("not an address").known
+    assert not book(plain_exchanges=False).by_address("10.0.0.1").exchanges, "keys alone"
 
 
 def test_an_exchange_moves_by_the_news_of_the_list() -> None:
-    b = book()
-    b.heard({"10.7.7.7:5060": 1})
-    assert b.at("10.7.7.7").exchanges == {1} == b.at("10.0.0.1").exchanges, "the settings' address stays good"
-    b.heard({})
-    assert not b.at("10.7.7.7").exchanges
+    directory = book()
+    directory.heard({"10.7.7.7:5060": 1})
+    assert directory.by_address("10.7.7.7").exchanges == {1} == directory.by_address("10.0.0.1").exchanges, (
+        "the settings' address stays good"
+    )
+    directory.heard({})
+    assert not directory.by_address("10.7.7.7").exchanges
     fixed = book(moves=False)
     fixed.heard({"10.7.7.7:5060": 1})
-    assert not fixed.at("10.7.7.7").exchanges
+    assert not fixed.by_address("10.7.7.7").exchanges
 
 
 def test_a_key_outranks_the_address() -> None:
-    b = book()
-    assert b.by_key(("x1.t",), "192.168.0.1").exchange == 1, "the default name: exchange and context"
-    assert b.by_key(("TWO.example",), "10.0.0.1").exchange == 2
-    member = b.by_key(("hall.example",), "192.168.0.1")
+    directory = book()
+    assert directory.by_identity(("x1.t",), "192.168.0.1").exchange == 1, (
+        "the default name: exchange and context"
+    )
+    assert directory.by_identity(("TWO.example",), "10.0.0.1").exchange == 2
+    member = directory.by_identity(("hall.example",), "192.168.0.1")
     assert member.caller is not None and member.caller.name == "hall" and not member.exchanges
-    assert not b.by_key(("x9.t", "x1.other"), "10.0.0.1").known, "the address of an exchange does not help"
+    assert not directory.by_identity(("x9.t", "x1.other"), "10.0.0.1").known, (
+        "the address of an exchange does not help"
+    )
 
 
 def test_a_party_has_a_name_for_the_log_and_a_source_for_its_limits() -> None:
-    b = book()
-    said = [str(p) for p in (X12, b.by_key(("hall.example",), "h"), NOBODY, b.by_key(("x1.t",), "h"))]
+    directory = book()
+    said = [
+        str(p)
+        for p in (
+            X12,
+            directory.by_identity(("hall.example",), "h"),
+            NOBODY,
+            directory.by_identity(("x1.t",), "h"),
+        )
+    ]
     assert said == ["exchange 1 or 2", "caller hall", "nobody", "exchange 1"]
     assert (
-        b.by_key(("x1.t",), "h").source == "x1.t"
-        and b.by_key(("hall.example",), "h").source == "hall.example"
+        directory.by_identity(("x1.t",), "h").source == "x1.t"
+        and directory.by_identity(("hall.example",), "h").source == "hall.example"
+    )
+    assert directory.by_identity(("x9.t",), "h").source == "h", (
+        "a name that nobody has is no source of its own"
+    )
+    assert (
+        directory.by_address("fe80::1").source == "fe80::1"
+        and directory.by_address("::ffff:a00:1").source == "::ffff:a00:1"
     )
-    assert b.by_key(("x9.t",), "h").source == "h", "a name that nobody has is no source of its own"
-    assert b.at("fe80::1").source == "fe80::1" and b.at("::ffff:a00:1").source == "::ffff:a00:1"
-    assert b.expects("10.0.1.1") and not b.expects("10.9.9.9")
+    assert directory.is_exchange_address("10.0.1.1") and not directory.is_exchange_address("10.9.9.9")
 
 
 def test_the_memory_of_addresses_is_bounded() -> None:
-    b = book()
+    directory = book()
     for n in range(5000):
-        b.at(f"172.16.{n >> 8}.{n & 255}")
-    assert len(b._callers) <= 1024
+        directory.by_address(f"172.16.{n >> 8}.{n & 255}")
+    assert len(directory._caller_cache) <= 1024
 
 
 # -- the engine beside a standing call -----------------------------------------------------------------------
