--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""What one source may cost: decided without a socket, then a call server under floods."""
+"""Limits of one source: the limiter without sockets, then a call server under floods."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 from eiderstep.standin.callers import Callers, Manners
 from eiderstep.trust.limits import MAX_SOURCES, UNKNOWN_RATE_DIVISOR, SourceLimiter, Verdict
 from eiderstep.trust.pace import MAX_KEYS, Thinner
-from tests.test_server import PLAIN, Log, on_virtual_loop, pair
+from tests.test_server import PLAIN, Log, on_virtual_loop, start_server_and_exchange
 
 SECOND = 1_000_000_000
-SMALL = SourceLimits(connections=4, silent=2, messages=10, faults=3, reserved=0.5)
+LOW_LIMITS = SourceLimits(connections=4, silent=2, messages=10, faults=3, reserved=0.5)
 
 
-def test_connections_of_one_source_and_those_that_say_nothing() -> None:
-    limiter = SourceLimiter(SMALL, 100)
+def test_limits_connections_and_silent_connections_of_a_source() -> None:
+    limiter = SourceLimiter(LOW_LIMITS, 100)
     assert [limiter.admit_connection(0, n, "a", False, True) for n in (1, 2)] == ["", ""]
     assert limiter.admit_connection(0, 3, "a", False, True) == "too many silent connections of one source"
     for n in (1, 2):
@@ -35,13 +35,13 @@
     for n in (3, 4):
         limiter.mark_active(n)
     assert limiter.admit_connection(0, 5, "a", False, True) == "too many connections of one source"
-    assert limiter.admit_connection(0, 6, "b", False, True) == "", "another source has its own"
+    assert limiter.admit_connection(0, 6, "b", False, True) == "", "another source has its own limit"
     for _ in range(2):
         limiter.connection_closed(1)
     assert limiter.admit_connection(0, 7, "a", False, True) == ""
 
 
-def test_exchanges_keep_a_reserved_share() -> None:
+def test_exchanges_have_reserved_connections() -> None:
     limiter = SourceLimiter(SourceLimits(reserved=0.5), 10)
     assert [limiter.admit_connection(0, n, f"s{n}", False, False) for n in range(6)] == [""] * 5 + [
         "too many connections"
@@ -53,31 +53,33 @@
     assert limiter.admit_connection(0, 20, "x", True, True) == ""
 
 
-def test_over_its_rate_a_source_is_told_to_come_back_and_then_read_slowly() -> None:
-    limiter = SourceLimiter(SMALL, 100)
+def test_source_above_its_rate_is_refused_then_slowed_down() -> None:
+    limiter = SourceLimiter(LOW_LIMITS, 100)
     limiter.admit_connection(0, 1, "a", False, True)
     assert [limiter.check_message(0, 1) for _ in range(10)] == [Verdict.TAKE] * 10
     assert [limiter.check_message(0, 1) for _ in range(10)] == [Verdict.REFUSE] * 10
     assert limiter.check_message(0, 1) is Verdict.SLOW and SECOND <= limiter.read_pause(1) < 2 * SECOND
     assert 2 * SECOND <= limiter.retry_after(1) < 3 * SECOND
-    assert limiter.check_message(limiter.retry_after(1), 1) is Verdict.TAKE, "who heeds it is taken"
-    assert limiter.check_message(99, 7) is Verdict.TAKE, "a link that we dialled"
+    assert limiter.check_message(limiter.retry_after(1), 1) is Verdict.TAKE, (
+        "a source that waits for Retry-After is accepted"
+    )
+    assert limiter.check_message(99, 7) is Verdict.TAKE, "a link that we dialled has no limit"
 
 
-def test_handshakes_draw_on_the_rate_of_their_address() -> None:
+def test_handshakes_count_against_the_rate_of_their_address() -> None:
     limiter = SourceLimiter(SourceLimits(messages=10), 100)
-    limiter.mark_active(77)  # a link that we dialled is in no book
-    said = [limiter.admit_connection(0, n, "a", False, True, handshake=True) for n in range(4)]
-    assert said == ["", "", "too many handshakes of one source", "too many handshakes of one source"]
-    assert limiter.admit_connection(0, 8, "a", False, True) == "", "a plain connection costs nothing yet"
+    limiter.mark_active(77)  # a link that we dialled was not admitted here
+    refusals = [limiter.admit_connection(0, n, "a", False, True, handshake=True) for n in range(4)]
+    assert refusals == ["", "", "too many handshakes of one source", "too many handshakes of one source"]
+    assert limiter.admit_connection(0, 8, "a", False, True) == "", "a plain connection needs no handshake"
     assert limiter.admit_connection(0, 9, "x", True, True, handshake=True) == ""
     assert limiter.admit_connection(2 * SECOND, 10, "a", False, True, handshake=True) == "", (
-        "and a second later"
+        "two seconds later another handshake is within the rate"
     )
 
 
-def test_one_pause_for_all_connections_of_a_source_that_are_closed_together() -> None:
-    limiter = SourceLimiter(SMALL, 100)
+def test_connections_closed_together_cause_one_pause() -> None:
+    limiter = SourceLimiter(LOW_LIMITS, 100)
     for n in (1, 2):
         limiter.admit_connection(0, n, "a", False, True)
     assert [limiter.record_fault(0, 1, False) for _ in range(3)][-1] is Verdict.CLOSE
@@ -85,33 +87,33 @@
     assert limiter.sources["a"].pause == 2 * SECOND
 
 
-def test_an_exchange_is_never_read_slowly_and_never_closed() -> None:
-    limiter = SourceLimiter(SMALL, 100)
+def test_exchange_is_never_slowed_down_or_closed() -> None:
+    limiter = SourceLimiter(LOW_LIMITS, 100)
     limiter.admit_connection(0, 1, "x", True, True)
     assert {limiter.check_message(0, 1) for _ in range(1000)} == {Verdict.TAKE, Verdict.REFUSE}
     assert {limiter.record_fault(0, 1, False) for _ in range(1000)} == {Verdict.TAKE}
 
 
-def test_a_stranger_has_a_fraction_of_the_rate() -> None:
+def test_unknown_source_has_a_fraction_of_the_rate() -> None:
     limiter = SourceLimiter(SourceLimits(messages=16 * UNKNOWN_RATE_DIVISOR), 100)
     limiter.admit_connection(0, 1, "s", False, False)
     assert [limiter.check_message(0, 1) for _ in range(17)] == [Verdict.TAKE] * 16 + [Verdict.REFUSE]
 
 
-def test_faults_close_idle_connections_and_pause_their_source_ever_longer() -> None:
-    limiter = SourceLimiter(SMALL, 100)
-    now, paused = 0, []
+def test_faults_close_idle_connections_with_doubling_pauses() -> None:
+    limiter = SourceLimiter(LOW_LIMITS, 100)
+    now, pauses = 0, []
     for _ in range(8):
         assert limiter.admit_connection(now, 1, "a", False, True) == ""
         while limiter.record_fault(now, 1, False) is not Verdict.CLOSE:
             pass
         limiter.connection_closed(1)
         assert limiter.admit_connection(now, 2, "a", False, True) == "source paused"
-        assert limiter.admit_connection(now, 3, "b", False, True) == "", "another source"
+        assert limiter.admit_connection(now, 3, "b", False, True) == "", "another source is not paused"
         limiter.connection_closed(3)
-        paused.append(limiter.sources["a"].paused_until - now)
+        pauses.append(limiter.sources["a"].paused_until - now)
         now = limiter.sources["a"].paused_until
-    assert paused == [n * SECOND for n in (1, 2, 4, 8, 16, 32, 64, 64)]
+    assert pauses == [n * SECOND for n in (1, 2, 4, 8, 16, 32, 64, 64)]
     now += 301 * SECOND
     limiter.admit_connection(now, 1, "a", False, True)
     assert [limiter.record_fault(now, 1, False) for _ in range(3)] == [
@@ -119,11 +121,13 @@
         Verdict.TAKE,
         Verdict.CLOSE,
     ]
-    assert limiter.sources["a"].paused_until - now == SECOND, "forgiven"
+    assert limiter.sources["a"].paused_until - now == SECOND, (
+        "after 301 s without faults the pause starts at its first value"
+    )
 
 
-def test_a_connection_on_which_calls_stand_is_not_closed_for_faults() -> None:
-    limiter = SourceLimiter(SMALL, 100)
+def test_connection_with_standing_calls_is_not_closed_for_faults() -> None:
+    limiter = SourceLimiter(LOW_LIMITS, 100)
     limiter.admit_connection(0, 1, "a", False, True)
     assert {limiter.record_fault(0, 1, True) for _ in range(100)} == {Verdict.TAKE}
     assert (
@@ -132,7 +136,7 @@
     )
 
 
-def test_sources_are_forgotten_but_not_those_with_connections() -> None:
+def test_evicts_only_sources_without_connections() -> None:
     limiter = SourceLimiter(SourceLimits(), 100_000)
     limiter.admit_connection(0, 1, "stays", False, True)
     for n in range(3 * MAX_SOURCES):
@@ -147,32 +151,32 @@
         st.tuples(st.integers(0, 5), st.integers(1, 8), st.sampled_from("abc"), st.booleans()), max_size=60
     )
 )
-def test_the_books_of_connections_are_exact(steps: list[tuple[int, int, str, bool]]) -> None:
-    limiter, now = SourceLimiter(SMALL, 6), 0
+def test_connection_counts_match_the_open_connections(operations: list[tuple[int, int, str, bool]]) -> None:
+    limiter, now = SourceLimiter(LOW_LIMITS, 6), 0
     open_flows: dict[int, tuple[str, bool, bool]] = {}
-    for what, flow, name, exchange in steps:
+    for operation, flow, name, exchange in operations:
         now += SECOND // 7
-        if what < 2 and flow not in open_flows:
+        if operation < 2 and flow not in open_flows:
             if limiter.admit_connection(now, flow, name, exchange, True) == "":
                 open_flows[flow] = (name, exchange, False)
-        elif what == 2 and flow in open_flows:
+        elif operation == 2 and flow in open_flows:
             limiter.mark_active(flow)
             open_flows[flow] = (*open_flows[flow][:2], True)
-        elif what == 3:
+        elif operation == 3:
             limiter.connection_closed(flow)
             open_flows.pop(flow, None)
-        elif what == 4:
+        elif operation == 4:
             limiter.check_message(now, flow)
         else:
             limiter.record_fault(now, flow, False)
     assert set(limiter.flows) == set(open_flows)
     assert limiter.non_exchange_flows == sum(not exchange for _, exchange, _ in open_flows.values()) <= 3
     for name, source in limiter.sources.items():
-        mine = [spoken for n, _, spoken in open_flows.values() if n == name]
-        assert (source.flows, source.silent_flows) == (len(mine), mine.count(False))
+        seen = [seen_message for n, _, seen_message in open_flows.values() if n == name]
+        assert (source.flows, source.silent_flows) == (len(seen), seen.count(False))
 
 
-def test_lines_of_one_event_and_source_come_at_a_bounded_rate_with_a_count() -> None:
+def test_log_lines_are_rate_limited_and_suppressed_ones_counted() -> None:
     limiter = Thinner(burst=3, period=SECOND)
     assert [limiter.line(n, "a") for n in range(6)] == [0, 0, 0, -1, -1, -1]
     assert limiter.line(5, "b") == 0
@@ -184,12 +188,12 @@
 
 # -- a call server under floods ------------------------------------------------------------------------------
 
-CALLERS, ATTACKER, NOBODY = "127.2.0.1", "127.2.0.9", "127.9.9.9"
-OURS = Trust(callers=[Caller(name="own", networks=["127.2.0.0/16"])])
+CALLER_HOST, ATTACKER_HOST, UNKNOWN_HOST = "127.2.0.1", "127.2.0.9", "127.9.9.9"
+CALLER_TRUST = Trust(callers=[Caller(name="own", networks=["127.2.0.0/16"])])
 
 
-class Shouter(asyncio.Protocol):
-    """Sends what it is told and counts what comes back."""
+class FloodClient(asyncio.Protocol):
+    """Sends given bytes and counts the statuses of the responses."""
 
     def __init__(self) -> None:
         self.transport: Any = None
@@ -207,10 +211,10 @@
         self.lost = True
 
 
-async def shouter(loop: VirtualLoop, server: CallServer, host: str) -> Shouter:
+async def connect_flood_client(loop: VirtualLoop, server: CallServer, host: str) -> FloodClient:
     where, port = split_address(server.address)
-    _, one = await loop.create_connection(Shouter, where, port, local_addr=(host, 0))
-    return one  # type: ignore[no-any-return]
+    _, client = await loop.create_connection(FloodClient, where, port, local_addr=(host, 0))
+    return client  # type: ignore[no-any-return]
 
 
 def invite(n: int) -> bytes:
@@ -223,44 +227,48 @@
 
 
 FLOODS: dict[str, tuple[str, Callable[[int], bytes]]] = {
-    "malformed": (ATTACKER, lambda n: b"INVITE sip:a@b SIP/2.0\r\nFrom: x\r\nContent-Length: 0\r\n\r\n"),
-    "noise": (NOBODY, lambda n: b"GET / HTTP/1.1\r\nContent-Length: 0\r\n\r\n"),
-    "calls of a caller": (ATTACKER, invite),
-    "calls of a stranger": (NOBODY, invite),
+    "malformed": (ATTACKER_HOST, lambda n: b"INVITE sip:a@b SIP/2.0\r\nFrom: x\r\nContent-Length: 0\r\n\r\n"),
+    "noise": (UNKNOWN_HOST, lambda n: b"GET / HTTP/1.1\r\nContent-Length: 0\r\n\r\n"),
+    "calls of a caller": (ATTACKER_HOST, invite),
+    "calls of a stranger": (UNKNOWN_HOST, invite),
 }
 
 
 @pytest.mark.parametrize("name", FLOODS)
-def test_a_flood_of_one_source_costs_the_others_nothing(name: str) -> None:
+def test_flood_of_one_source_does_not_affect_other_calls(name: str) -> None:
     loop, log = VirtualLoop(), Log()
     host, make = FLOODS[name]
     limits = Limits(source=SourceLimits(messages=200, faults=20, calls=10))
 
     async def run() -> None:
-        server, exchange = await pair(loop, log, trust=OURS, limits=limits)
+        server, exchange = await start_server_and_exchange(loop, log, trust=CALLER_TRUST, limits=limits)
         callers = Callers(loop, server.address, Random(1), Manners(leaves_early=0.0, redials=0))
-        callers.host = CALLERS
+        callers.host = CALLER_HOST
         await callers.connect()
-        enemies = [await shouter(loop, server, host) for _ in range(4)]
-        asks = []
+        flooders = [await connect_flood_client(loop, server, host) for _ in range(4)]
+        offers = []
         for n in range(100):
-            for i, enemy in enumerate(enemies):
+            for i, flooder in enumerate(flooders):
                 for k in range(12):
-                    enemy.transport.write(make(1000 * n + 100 * i + k))
+                    flooder.transport.write(make(1000 * n + 100 * i + k))
             if n % 10 == 0:
-                asks.append(callers.offer(PLAIN, "40011234"))
+                offers.append(callers.offer(PLAIN, "40011234"))
             await asyncio.sleep(0.01)
         await asyncio.sleep(2)
-        assert [a.outcome for a in asks] == ["stands"] * 10
+        assert [offer.outcome for offer in offers] == ["stands"] * 10
         engine = server.engine
         assert engine is not None
-        kept = len(engine.transactions.servers) + len(engine.transactions.by_flow)
-        assert kept < 2500 and len(engine.calls) <= 10 + 10, "nothing grows with the flood"
-        if host == NOBODY or "calls" not in name:
-            assert all(enemy.lost for enemy in enemies), "closed for its faults"
+        state_size = len(engine.transactions.servers) + len(engine.transactions.by_flow)
+        assert state_size < 2500 and len(engine.calls) <= 10 + 10, "the state does not grow with the flood"
+        if host == UNKNOWN_HOST or "calls" not in name:
+            assert all(flooder.lost for flooder in flooders), (
+                "flooding connections are closed for their faults"
+            )
         else:
-            told = sum(e.statuses.get(503, 0) for e in enemies)
-            assert told > 100 and not any(e.lost for e in enemies), "told to come back"
+            refused = sum(e.statuses.get(503, 0) for e in flooders)
+            assert refused > 100 and not any(e.lost for e in flooders), (
+                "calls above the rate get 503, and the connections stay open"
+            )
         server.kill()
         exchange.die()
 
@@ -269,18 +277,20 @@
 
 
 @pytest.mark.parametrize("tail", [b"", b"INVITE sip:a@b SIP/2.0\r\nFrom: "])
-def test_a_message_that_is_never_finished_ends_its_connection(tail: bytes) -> None:
+def test_closes_connection_with_unfinished_message(tail: bytes) -> None:
     loop, log = VirtualLoop(), Log()
 
     async def run() -> None:
-        server, exchange = await pair(loop, log, trust=OURS, limits=Limits(first_message=4 * SECOND))
-        one = await shouter(loop, server, ATTACKER)
-        one.transport.write(invite(1) + tail)
+        server, exchange = await start_server_and_exchange(
+            loop, log, trust=CALLER_TRUST, limits=Limits(first_message=4 * SECOND)
+        )
+        client = await connect_flood_client(loop, server, ATTACKER_HOST)
+        client.transport.write(invite(1) + tail)
         for _ in range(20):
             await asyncio.sleep(0.5)
             if tail:
-                one.transport.write(b"x")  # a slow writer: a byte now and then
-        assert one.lost is bool(tail)
+                client.transport.write(b"x")  # a slow writer: one byte every half second
+        assert client.lost is bool(tail)
         server.kill()
         exchange.die()
 
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -1,4 +1,4 @@
-"""The call server on a virtual loop, and its process on a real one."""
+"""The call server on a virtual event loop, and its process on a real one."""
 
 from __future__ import annotations
 
@@ -65,10 +65,10 @@
         return [event for event, _ in self.lines]
 
 
-async def pair(
+async def start_server_and_exchange(
     loop: VirtualLoop, log: Log, udp: bool = False, udp_too: bool = False, **changes: Any
 ) -> tuple[CallServer, Exchange]:
-    """A call server 0 and a stand-in exchange 1 with a group of 20."""
+    """Call server 0 and stand-in exchange 1 with a trunk group of 20 circuits."""
     plant = Plant(number=1, circuits={0: 20}, numbers={"4001": 1}, busy_lines=0.0)
     exchange = Exchange(loop, plant, Random(1), None)
     exchange.host = "127.1.0.2"
@@ -87,50 +87,54 @@
     return msgspec.structs.replace(settings, **changes)
 
 
-MANY = Limits(
+HALF_OPEN_LIMITS = Limits(
     first_message=5 * SECOND,
     connections=10_100,
     source=SourceLimits(connections=20_000, silent=20_000, reserved=0.0),
 )
 
 
-def test_ten_thousand_half_open_connections_do_not_stand_in_the_way() -> None:
+def test_ten_thousand_half_open_connections_do_not_block_calls() -> None:
     loop, log = VirtualLoop(), Log()
 
     async def run() -> None:
-        server, exchange = await pair(loop, log, limits=MANY)
+        server, exchange = await start_server_and_exchange(loop, log, limits=HALF_OPEN_LIMITS)
         host, _, port = server.address.rpartition(":")
-        idle = [await loop.create_connection(asyncio.Protocol, host, int(port)) for _ in range(10_000)]
-        for transport, _ in idle[::2]:
+        half_open = [await loop.create_connection(asyncio.Protocol, host, int(port)) for _ in range(10_000)]
+        for transport, _ in half_open[::2]:
             transport.write(b"INVITE sip:half")
         callers = Callers(loop, server.address, Random(1), Manners(leaves_early=0.0))
         await callers.connect()
-        asks = [callers.offer(PLAIN, "40011234") for _ in range(5)]
+        offers = [callers.offer(PLAIN, "40011234") for _ in range(5)]
         await asyncio.sleep(1)
-        assert [a.outcome for a in asks] == ["stands"] * 5
+        assert [offer.outcome for offer in offers] == ["stands"] * 5
         await asyncio.sleep(8)
-        assert sum(t.is_closing() for t, _ in idle) == 10_000, "they are closed once their time is up"
-        assert len(callers.flows_up) == 4, "those that have spoken are not"
-        over = [await loop.create_connection(asyncio.Protocol, host, int(port)) for _ in range(10_200)]
+        assert sum(t.is_closing() for t, _ in half_open) == 10_000, (
+            "half-open connections are closed after `first_message`"
+        )
+        assert len(callers.flows_up) == 4, "connections that have sent messages stay open"
+        excess = [await loop.create_connection(asyncio.Protocol, host, int(port)) for _ in range(10_200)]
         await asyncio.sleep(0.1)
-        assert sum(t.is_closing() for t, _ in over) > 90, "no more than the limit"
+        assert sum(t.is_closing() for t, _ in excess) > 90, "connections above the limit are closed"
         server.kill()
         exchange.die()
 
     on_virtual_loop(run(), loop)
-    assert 0 < log.events().count("idle connection closed") < 20, "one source, and it provokes them"
+    assert 0 < log.events().count("idle connection closed") < 20, (
+        "log lines that one source provokes are rate-limited"
+    )
 
 
-def test_a_link_that_is_reset_at_once_is_no_link() -> None:
+def test_connection_reset_on_accept_is_not_used_as_link() -> None:
     loop, log = VirtualLoop(), Log()
 
-    class Slammer(asyncio.Protocol):
+    class ResettingPeer(asyncio.Protocol):
         def connection_made(self, transport: Any) -> None:
             loop.call_soon(transport.abort)
 
     async def run() -> None:
-        door = await loop.create_server(Slammer, "127.0.0.1", 0)
-        name = door.sockets[0].getsockname()
+        listener = await loop.create_server(ResettingPeer, "127.0.0.1", 0)
+        name = listener.sockets[0].getsockname()
         peer = Peer(number=1, address=f"{name[0]}:{name[1]}", circuits=4)
         server = CallServer(loop, replace_struct(SETTINGS, peers=[peer]), log)
         await server.start()
@@ -142,26 +146,26 @@
     assert "link up" not in log.events()
 
 
-def test_udp_to_and_from_a_peer_with_every_third_datagram_lost() -> None:
+def test_calls_over_udp_with_a_third_of_datagrams_lost() -> None:
     loop, log = VirtualLoop(), Log()
-    lost = Random(7)
-    loop.lose_datagram = lambda address, data: lost.random() < 0.33
+    loss_rng = Random(7)
+    loop.lose_datagram = lambda address, data: loss_rng.random() < 0.33
 
     async def run() -> None:
-        quick = Timers(t1=100_000_000, t2=800_000_000, t4=SECOND)
-        server, exchange = await pair(loop, log, udp=True, timers=quick)
-        exchange.transactions.times = Times(quick.t1, quick.t2, quick.t4)
+        timers = Timers(t1=100_000_000, t2=800_000_000, t4=SECOND)
+        server, exchange = await start_server_and_exchange(loop, log, udp=True, timers=timers)
+        exchange.transactions.times = Times(timers.t1, timers.t2, timers.t4)
         callers = Callers(loop, server.address, Random(2), Manners(leaves_early=0.0, patience=8.0, redials=0))
         await callers.connect()
-        asks = []
+        offers = []
         for _ in range(60):
-            asks.append(callers.offer(PLAIN, "40011234"))
+            offers.append(callers.offer(PLAIN, "40011234"))
             await asyncio.sleep(0.4)
         await asyncio.sleep(30)
         assert server.engine is not None
-        stood = sum(a.outcome == "stands" for a in asks)
+        standing = sum(a.outcome == "stands" for a in offers)
         finals = sum(callers.finals.values())
-        assert finals == len(asks) and stood > 40, (finals, stood, callers.finals)
+        assert finals == len(offers) and standing > 40, (finals, standing, callers.finals)
         assert not server.engine.calls and server.engine.ledgers[1].free == 20
         assert not exchange.trunks[0].busy and not exchange.tally.circuit_faults
         server.kill()
@@ -170,78 +174,86 @@
     on_virtual_loop(run(), loop)
 
 
-def test_a_caller_over_udp_gets_its_answer_again_until_it_acknowledges() -> None:
+def test_resends_200_over_udp_until_ack() -> None:
     loop, log = VirtualLoop(), Log()
-    drops = [3]
+    drops_left = [3]
 
     def lose(address: str, data: bytes) -> bool:
-        hit = data.startswith(b"SIP/2.0 200") and drops[0] > 0
-        drops[0] -= hit
-        return hit
+        dropped = data.startswith(b"SIP/2.0 200") and drops_left[0] > 0
+        drops_left[0] -= dropped
+        return dropped
 
     loop.lose_datagram = lose
-    heard: list[tuple[float, Message]] = []
+    received: list[tuple[float, Message]] = []
 
-    class Phone(asyncio.DatagramProtocol):
+    class UdpCaller(asyncio.DatagramProtocol):
         def datagram_received(self, data: bytes, addr: Any) -> None:
             message = parse_datagram(data)
             assert isinstance(message, Message)
-            heard.append((loop.time(), message))
+            received.append((loop.time(), message))
 
     async def run() -> None:
-        server, exchange = await pair(loop, log, udp_too=True, timers=Timers(t1=100_000_000))
-        phone, _ = await loop.create_datagram_endpoint(Phone, local_addr=("127.0.0.1", 0))
-        there = split_address(server.address)
+        server, exchange = await start_server_and_exchange(
+            loop, log, udp_too=True, timers=Timers(t1=100_000_000)
+        )
+        phone, _ = await loop.create_datagram_endpoint(UdpCaller, local_addr=("127.0.0.1", 0))
+        server_address = split_address(server.address)
         invite = request(
             "INVITE", "sip:40011234@x", via="SIP/2.0/UDP p;branch=z9hG4bKu1", sender="<sip:p@p>;tag=p",
             to="<sip:40011234@x>", call_id="u1", cseq=1,
         )  # fmt: skip
         invite.set("eiderstep-class", "plain")
         for _ in range(2):
-            phone.sendto(invite.encode(), there)
+            phone.sendto(invite.encode(), server_address)
         await asyncio.sleep(5)
-        oks = [(at, m) for at, m in heard if m.status == 200]
-        assert drops == [0] and len(oks) > 1, "resent until the ACK, the first three were lost"
-        assert exchange.tally.set_ups == 1, "the INVITE came twice, the call is one"
-        phone.sendto(acknowledge(invite, oks[0][1], "SIP/2.0/UDP p;branch=z9hG4bKu2").encode(), there)
+        oks = [(at, m) for at, m in received if m.status == 200]
+        assert drops_left == [0] and len(oks) > 1, (
+            "the 200 is resent until the ACK; the first three were dropped"
+        )
+        assert exchange.tally.set_ups == 1, "the resent INVITE does not start a second call"
+        phone.sendto(
+            acknowledge(invite, oks[0][1], "SIP/2.0/UDP p;branch=z9hG4bKu2").encode(), server_address
+        )
         await asyncio.sleep(1)
-        count = len(heard)
+        count = len(received)
         await asyncio.sleep(20)
-        assert len(heard) == count, "acknowledged: nothing more comes"
+        assert len(received) == count, "nothing is resent after the ACK"
         server.kill()
         exchange.die()
 
     on_virtual_loop(run(), loop)
 
 
-def test_a_far_end_that_resets_each_link_after_a_while_is_not_dialled_without_end() -> None:
+def test_dials_back_off_when_peer_resets_each_link() -> None:
     loop, log = VirtualLoop(), Log()
 
     async def run() -> None:
-        server, exchange = await pair(loop, log)
+        server, exchange = await start_server_and_exchange(loop, log)
         links = []
 
-        class Resetting(asyncio.Protocol):
+        class ResettingPeer(asyncio.Protocol):
             def connection_made(self, transport: Any) -> None:
                 links.append(loop.time())
                 loop.call_later(0.005, transport.abort)
 
         exchange.die()
         host, port = split_address(exchange.address)
-        await loop.create_server(Resetting, host, port)
+        await loop.create_server(ResettingPeer, host, port)
         await asyncio.sleep(20)
         cap = 8 * server.settings.limits.redial / SECOND
-        assert 2 <= len(links) <= 20 / cap + 6, "the pauses grow, though each link came up"
+        assert 2 <= len(links) <= 20 / cap + 6, "the pauses grow although each link was established"
         server.kill()
 
     on_virtual_loop(run(), loop)
 
 
-def test_datagrams_from_everywhere_are_not_remembered_for_ever() -> None:
+def test_evicts_flows_of_datagram_sources() -> None:
     loop, log = VirtualLoop(), Log()
 
     async def run() -> None:
-        server, exchange = await pair(loop, log, udp_too=True, limits=Limits(connections=100))
+        server, exchange = await start_server_and_exchange(
+            loop, log, udp_too=True, limits=Limits(connections=100)
+        )
         assert server.datagram_socket is not None
         options = request(
             "OPTIONS", "sip:x", via="SIP/2.0/UDP p;branch=z9hG4bKo", sender="<sip:p@p>;tag=p", to="<sip:x@x>",
@@ -251,7 +263,7 @@
             options.set("via", f"SIP/2.0/UDP p;branch=z9hG4bK{n}")
             server.datagram_socket.datagram_received(options.encode(), ("127.0.0.1", 30000 + n))
             if n % 50 == 49:
-                await asyncio.sleep(40)  # past 64 x T1: the transactions are over
+                await asyncio.sleep(40)  # longer than 64 x T1, after which the transactions have ended
         assert len(server.datagram_flows) == len(server.datagram_peers) <= 101
         server.kill()
         exchange.die()
@@ -259,7 +271,7 @@
     on_virtual_loop(run(), loop)
 
 
-def test_a_register_that_is_silent_late_and_skips_a_change() -> None:
+def test_register_client_reconnects_after_gap_and_silence() -> None:
     loop = VirtualLoop()
     news: list[tuple[str, list[str]]] = []
     notes: list[str] = []
@@ -277,7 +289,7 @@
         await asyncio.sleep(1)
         register.change(Entry("10.0.0.2:1", 2, started=loop.time()))
         await asyncio.sleep(1)
-        register.gen += 1  # a change that is never told
+        register.gen += 1  # a change that is not sent
         register.change(Entry("10.0.0.3:1", 3))
         await asyncio.sleep(3)
         register.fall_silent(20)
@@ -294,7 +306,7 @@
     assert kinds[-2:] == ["COMPLETE", "CHANGES"] and news[-1][1] == ["10.0.0.1:1"]
 
 
-def test_event_streams_in_any_pieces() -> None:
+def test_parses_event_stream_in_chunks_of_any_size() -> None:
     text = b"data: one\r\n\r\n: note\n\ndata: two\ndata: lines\n\n"
     for size in range(1, len(text)):
         stream, found = EventStream(), []
@@ -303,7 +315,7 @@
         assert found == [b"one", b"two\nlines"]
 
 
-def test_a_process_drains_on_sigterm_and_exits(tmp_path: Path) -> None:
+def test_process_drains_and_exits_on_sigterm(tmp_path: Path) -> None:
     script = tmp_path / "site.star"
     script.write_text(dump(replace_struct(SETTINGS, limits=Limits(drain=SECOND))))
     child = subprocess.Popen(
--- a/tests/test_stranger.py
+++ b/tests/test_stranger.py
@@ -1,4 +1,4 @@
-"""Each attack over real sockets, beside calls that stand; and that the look for harm sees harm."""
+"""Each attack over real sockets, beside standing calls; and that the check for harm detects harm."""
 
 from __future__ import annotations
 
@@ -33,13 +33,13 @@
 
 
 class Scene:
-    """A call server, two exchanges with groups of 20, callers, and calls to exchange 1 that stand."""
+    """A call server, two exchanges with groups of 20 circuits, callers, and standing calls to exchange 1."""
 
     def __init__(self) -> None:
         self.loop = asyncio.get_running_loop()
         self.log = Log()
         self.exchanges: list[Exchange] = []
-        self.wires = 0
+        self.connection_count = 0
 
     async def start(self) -> None:
         for number in (1, 2):
@@ -59,11 +59,11 @@
         self.callers = Callers(self.loop, self.server.address, Random(1), Manners(leaves_early=0.0))
         self.callers.host = "127.2.0.1"
         await self.callers.connect()
-        asks = [self.callers.offer(LONG, f"40011{n:03}") for n in range(CALLS)]
-        while not all(ask.outcome for ask in asks):
+        offers = [self.callers.offer(LONG, f"40011{n:03}") for n in range(CALLS)]
+        while not all(offer.outcome for offer in offers):
             await asyncio.sleep(0.01)
-        assert [ask.outcome for ask in asks] == ["stands"] * CALLS
-        # An honest ACK may be on its way yet: all is quiet once nothing is open.
+        assert [offer.outcome for offer in offers] == ["stands"] * CALLS
+        # ACKs of these calls may still be in flight; wait until there is no open transaction.
         while self.server.engine is None or self.server.engine.transactions.by_flow:
             await asyncio.sleep(0.01)
 
@@ -74,19 +74,19 @@
         self.callers.die()
 
     def victim(self) -> Victim:
-        one = next(iter(self.callers.standing.values()))
+        call = next(iter(self.callers.standing.values()))
         leg = next(
-            x for x in self.exchanges[0].standing()
-            if x.invite.get("session-id") == one.invite.get("session-id")
+            leg for leg in self.exchanges[0].standing()
+            if leg.invite.get("session-id") == call.invite.get("session-id")
         )  # fmt: skip
-        assert one.dialog is not None and leg.dialog is not None
+        assert call.dialog is not None and leg.dialog is not None
         return Victim(
-            one.invite, one.dialog.remote, leg.invite, leg.dialog.local, "0-1", "40011234", "plain", "t",
+            call.invite, call.dialog.remote, leg.invite, leg.dialog.local, "0-1", "40011234", "plain", "t",
             "127.1.0.2",
         )  # fmt: skip
 
-    def picture(self) -> Any:
-        """What no stranger may change, at the call server and at both exchanges."""
+    def protected_state(self) -> Any:
+        """The state of the call server and both exchanges that no attack may change."""
         engine = self.server.engine
         assert engine is not None
         return (
@@ -100,50 +100,53 @@
             dict(engine.told),
         )
 
-    def exact(self) -> bool:
+    def circuits_agree(self) -> bool:
         engine = self.server.engine
         assert engine is not None
         return all(set(engine.ledgers[e.plant.number].busy) == set(e.trunks[0].busy) for e in self.exchanges)
 
     async def attack(self, attack: Attack, n: int) -> dict[int, int]:
-        """One attack from a new connection; the statuses that answered it."""
-        self.wires += 1
-        low = f"{self.wires // 250}.{self.wires % 250 + 1}"
-        host = {NOBODY: f"127.3.{low}", CALLER: f"127.2.{low}", EXCHANGE: "127.1.0.3"}[attack.sender]
+        """Make one attack over a new connection; returns the count of each response status."""
+        self.connection_count += 1
+        host_suffix = f"{self.connection_count // 250}.{self.connection_count % 250 + 1}"
+        host = {NOBODY: f"127.3.{host_suffix}", CALLER: f"127.2.{host_suffix}", EXCHANGE: "127.1.0.3"}[
+            attack.sender
+        ]
         stranger = Stranger(self.loop, self.server.address, {}, list, Random(n), 1.0)
-        wire = await stranger.connect(host)
-        assert wire is not None
-        # Behind it an OPTIONS whose answer tells that the attack was read, unless it ended the connection.
-        mark = request("OPTIONS", "sip:x@x", via=f"SIP/2.0/TCP s;branch=z9hG4bKmark{n}",
+        connection = await stranger.connect(host)
+        assert connection is not None
+        # The response to an OPTIONS behind the attack shows that the attack was read, unless it closed the
+        # connection.
+        probe = request("OPTIONS", "sip:x@x", via=f"SIP/2.0/TCP s;branch=z9hG4bKmark{n}",
                        sender="<sip:s@s>;tag=s", to="<sip:x@x>", call_id=f"mark{n}", cseq=1)  # fmt: skip
-        wire.transport.write(coded(attack.made(self.victim(), n)) + mark.encode())
-        marked = 403 if attack.sender == NOBODY else 200
-        wanted = len(attack.answers[:1]) + 1
-        while not wire.lost.is_set() and sum(wire.statuses.values()) < wanted:
-            wire.came.clear()
-            await asyncio.wait_for(wire.came.wait(), 10)
-        found = dict(wire.statuses)
-        if not wire.lost.is_set():
-            found[marked] = found.get(marked, 0) - 1
-        wire.transport.abort()
+        connection.transport.write(coded(attack.made(self.victim(), n)) + probe.encode())
+        probe_status = 403 if attack.sender == NOBODY else 200
+        expected_count = len(attack.answers[:1]) + 1
+        while not connection.lost.is_set() and sum(connection.statuses.values()) < expected_count:
+            connection.came.clear()
+            await asyncio.wait_for(connection.came.wait(), 10)
+        found = dict(connection.statuses)
+        if not connection.lost.is_set():
+            found[probe_status] = found.get(probe_status, 0) - 1
+        connection.transport.abort()
         return {status: count for status, count in found.items() if count}
 
 
-async def harmful(names: list[str]) -> list[str]:
-    """Attacks that were answered otherwise than they should, or changed anything."""
+async def find_harmful_attacks(names: list[str]) -> list[str]:
+    """Attacks that got an unexpected response or changed protected state."""
     scene, found = Scene(), list[str]()
     await scene.start()
     try:
-        before = scene.picture()
+        before = scene.protected_state()
         for n, name in enumerate(names):
             answers = await scene.attack(ATTACKS[name], n)
             allowed = ATTACKS[name].answers
-            right = sum(answers.values()) == len(allowed[:1]) and set(answers) <= set(allowed)
-            if not right or scene.picture() != before or not scene.exact():
+            as_expected = sum(answers.values()) == len(allowed[:1]) and set(answers) <= set(allowed)
+            if not as_expected or scene.protected_state() != before or not scene.circuits_agree():
                 found.append(f"{name}: {answers}")
-                before = scene.picture()
-        for one in list(scene.callers.standing.values()):
-            scene.callers._hang_up(one)
+                before = scene.protected_state()
+        for call in list(scene.callers.standing.values()):
+            scene.callers._hang_up(call)
         scene.callers.pump()
         assert scene.server.engine is not None
         while not found and (scene.server.engine.busy_circuits() or scene.exchanges[0].trunks[0].busy):
@@ -153,17 +156,17 @@
     return found
 
 
-def run(names: list[str]) -> list[str]:
+def run_attacks(names: list[str]) -> list[str]:
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        return runner.run(asyncio.wait_for(harmful(names), 60))
+        return runner.run(asyncio.wait_for(find_harmful_attacks(names), 60))
 
 
-def test_no_attack_over_sockets_harms_anybody() -> None:
+def test_attacks_over_sockets_do_no_harm() -> None:
     assert len(ATTACKS) >= 40
-    assert run(sorted(ATTACKS)) == []
+    assert run_attacks(sorted(ATTACKS)) == []
 
 
-PLANTED = [
+REMOVED_RULES = [
     (Act.CIRCUITS, "circuits out, by another exchange"),
     (Act.WITHIN, "BYE, by another caller"),
     (Act.WITHIN, "BYE as the far end, by another exchange"),
@@ -173,8 +176,10 @@
 ]
 
 
-@pytest.mark.parametrize(("act", "name"), PLANTED, ids=[name for _, name in PLANTED])
-def test_a_rule_that_is_taken_out_is_seen(monkeypatch: pytest.MonkeyPatch, act: Act, name: str) -> None:
-    was = RULES[act]
-    monkeypatch.setitem(RULES, act, Rule(was.status, lambda who, about, own: True, was.danger, was.hurts))
-    assert [found.partition(":")[0] for found in run([name])] == [name]
+@pytest.mark.parametrize(("act", "name"), REMOVED_RULES, ids=[name for _, name in REMOVED_RULES])
+def test_detects_harm_when_a_rule_is_removed(monkeypatch: pytest.MonkeyPatch, act: Act, name: str) -> None:
+    removed = RULES[act]
+    monkeypatch.setitem(
+        RULES, act, Rule(removed.status, lambda who, about, own: True, removed.danger, removed.hurts)
+    )
+    assert [found.partition(":")[0] for found in run_attacks([name])] == [name]
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -1,4 +1,4 @@
-"""Proofs, keys, and TLS between call servers: who is let in, rotation and revocation while calls stand."""
+"""Certificates, keys and TLS between call servers: authentication, rotation and revocation during calls."""
 
 from __future__ import annotations
 
@@ -44,10 +44,10 @@
 from tests.test_server import Log, on_virtual_loop
 
 SECOND = 1_000_000_000
-NOW = 1000.0  # where the virtual clock begins
+NOW = 1000.0  # start of the virtual clock
 PLAIN = Class("plain", 1.0, 1.0, 30.0)
 
-# -- proofs --------------------------------------------------------------------------------------------------
+# -- certificates --------------------------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize(
@@ -64,86 +64,88 @@
         ((), ()),
     ],
 )
-def test_names_by_rfc_5922(listed: tuple[tuple[str, str], ...], names: tuple[str, ...]) -> None:
+def test_sip_names_by_rfc_5922(listed: tuple[tuple[str, str], ...], names: tuple[str, ...]) -> None:
     assert sip_names(listed) == names
 
 
-P = CertificateInfo(("x1.t",), 7, 1000.0, 2000.0)
+CERTIFICATE = CertificateInfo(("x1.t",), 7, 1000.0, 2000.0)
 
 
 @pytest.mark.parametrize(
-    ("proof", "now", "revoked", "word"),
+    ("certificate", "now", "revoked", "reason"),
     [
-        (P, 1500, RevocationList(), ""),
-        (P, 940, RevocationList(), ""),
-        (P, 2060, RevocationList(), ""),
-        (P, 939, RevocationList(), "not valid for another"),
-        (P, 2061, RevocationList(), "expired"),
-        (P, 1500 - 86_400, RevocationList(), "not valid for another 24 hours"),
-        (P, 1500 + 86_400, RevocationList(), "expired 24 hours ago"),
-        (P, 1500, RevocationList(frozenset([7])), "revoked"),
-        (P, 1500, RevocationList(frozenset([8])), ""),
+        (CERTIFICATE, 1500, RevocationList(), ""),
+        (CERTIFICATE, 940, RevocationList(), ""),
+        (CERTIFICATE, 2060, RevocationList(), ""),
+        (CERTIFICATE, 939, RevocationList(), "not valid for another"),
+        (CERTIFICATE, 2061, RevocationList(), "expired"),
+        (CERTIFICATE, 1500 - 86_400, RevocationList(), "not valid for another 24 hours"),
+        (CERTIFICATE, 1500 + 86_400, RevocationList(), "expired 24 hours ago"),
+        (CERTIFICATE, 1500, RevocationList(frozenset([7])), "revoked"),
+        (CERTIFICATE, 1500, RevocationList(frozenset([8])), ""),
         (CertificateInfo((), 7, 1000, 2000), 1500, RevocationList(), "contains no SIP domain"),
     ],
 )
-def test_when_a_proof_counts(proof: CertificateInfo, now: float, revoked: RevocationList, word: str) -> None:
-    said = certificate_error(proof, now, revoked, 60.0)
-    assert said.startswith(word) and bool(said) is bool(word)
+def test_certificate_errors(
+    certificate: CertificateInfo, now: float, revoked: RevocationList, reason: str
+) -> None:
+    error = certificate_error(certificate, now, revoked, 60.0)
+    assert error.startswith(reason) and bool(error) is bool(reason)
 
 
-def test_an_end_is_told_from_the_last_quarter_on() -> None:
-    assert [bool(expiry_warning(P, now)) for now in (1700, 1751, 2001)] == [False, True, True]
-    assert expiry_warning(P, 2001) == "has expired"
+def test_expiry_warning_starts_in_the_last_quarter() -> None:
+    assert [bool(expiry_warning(CERTIFICATE, now)) for now in (1700, 1751, 2001)] == [False, True, True]
+    assert expiry_warning(CERTIFICATE, 2001) == "has expired"
 
 
 # -- the authority -------------------------------------------------------------------------------------------
 
 
-def test_an_authority_issues_renews_revokes(tmp_path: Path) -> None:
-    made = Authority.make(tmp_path / "ca", "test", NOW)
-    first = made.issue("x1.t", NOW)
+def test_authority_issues_renews_and_revokes(tmp_path: Path) -> None:
+    authority = Authority.make(tmp_path / "ca", "test", NOW)
+    first = authority.issue("x1.t", NOW)
     old = first.read_bytes()
-    made.issue("x1.t", NOW + 10)
-    assert first.read_bytes() != old and len(made.rows()) == 2
+    authority.issue("x1.t", NOW + 10)
+    assert first.read_bytes() != old and len(authority.rows()) == 2
     assert [oct((tmp_path / "ca" / n).stat().st_mode)[-3:] for n in ("ca.key", "x1.t.key", "x1.t.pem")] == [
         "600", "600", "644",
     ]  # fmt: skip
     assert read_crl(tmp_path / "ca" / "crl.pem", tmp_path / "ca" / "ca.pem").serials == frozenset()
-    gone = made.revoke("x1.t", NOW + 20)
+    gone = authority.revoke("x1.t", NOW + 20)
     listed = read_crl(tmp_path / "ca" / "crl.pem", tmp_path / "ca" / "ca.pem")
     assert listed.serials == {int(r.serial, 16) for r in gone} and len(gone) == 2
     assert listed.next_update == NOW + 20 + 86_400
     assert [p.name for p in (tmp_path / "ca").iterdir() if p.name.startswith(".")] == []
 
 
-def test_what_an_authority_refuses(tmp_path: Path) -> None:
-    made = Authority.make(tmp_path / "ca", "test", NOW, days=1)
+def test_authority_refuses_invalid_requests(tmp_path: Path) -> None:
+    authority = Authority.make(tmp_path / "ca", "test", NOW, days=1)
     other = Authority.make(tmp_path / "other", "other", NOW)
     for wrong in (
         lambda: Authority.make(tmp_path / "ca", "again", NOW),
-        lambda: made.issue("", NOW),
-        lambda: made.issue("x1.t/../../etc", NOW),
-        lambda: made.issue("x1.t", NOW, hours=0),
-        lambda: made.issue("x1.t", NOW + 2 * 86_400),
-        lambda: made.revoke("nobody", NOW),
-        lambda: read_crl(other.folder / "crl.pem", made.folder / "ca.pem"),
-        lambda: read_crl(made.folder / "ca.pem", made.folder / "ca.pem"),
+        lambda: authority.issue("", NOW),
+        lambda: authority.issue("x1.t/../../etc", NOW),
+        lambda: authority.issue("x1.t", NOW, hours=0),
+        lambda: authority.issue("x1.t", NOW + 2 * 86_400),
+        lambda: authority.revoke("nobody", NOW),
+        lambda: read_crl(other.folder / "crl.pem", authority.folder / "ca.pem"),
+        lambda: read_crl(authority.folder / "ca.pem", authority.folder / "ca.pem"),
         lambda: Authority(tmp_path / "none").rows(),
         lambda: check_key_permissions(tmp_path / "none"),
     ):
         with pytest.raises(KeysError) as caught:
             wrong()
         assert "found" in str(caught.value) or "cannot be read" in str(caught.value)
-    assert made.issue("x2.t", NOW, hours=999).exists(), "cut to the CA's own life"
-    assert made.rows()[-1].ends == NOW + 86_400
-    os.chmod(made.folder / "ca.key", 0o640)
+    assert authority.issue("x2.t", NOW, hours=999).exists(), "a certificate does not outlive the CA"
+    assert authority.rows()[-1].ends == NOW + 86_400
+    os.chmod(authority.folder / "ca.key", 0o640)
     with pytest.raises(KeysError, match="others can read it"):
-        made.issue("x3.t", NOW)
+        authority.issue("x3.t", NOW)
 
 
-def test_the_command_line_makes_issues_renews_revokes_and_shows(tmp_path: Path) -> None:
+def test_keys_commands_create_issue_renew_revoke_and_show(tmp_path: Path) -> None:
     run, ca = CliRunner(), str(tmp_path / "ca")
-    for words, code, said in (
+    for words, code, message in (
         (["ca", ca], 0, "ca.pem"),
         (["ca", ca], 2, ""),
         (["issue", ca, "x1.midlands"], 0, "x1.midlands.pem"),
@@ -156,15 +158,15 @@
         (["show", ca, "--json"], 0, '"state": "revoked"'),
     ):
         result = run.invoke(app, ["keys", *words])
-        assert result.exit_code == code and said in result.stdout, (words, result.output)
+        assert result.exit_code == code and message in result.stdout, (words, result.output)
         for line in (tmp_path / "ca" / "ca.key").read_text().splitlines()[1:-1]:
             assert line not in result.output
 
 
-# -- the codec -----------------------------------------------------------------------------------------------
+# -- TLS without I/O -----------------------------------------------------------------------------------------
 
 
-def tls_of(folder: Path, stem: str, ca: Path | None = None, **more: Any) -> SipTls:
+def tls_settings(folder: Path, stem: str, ca: Path | None = None, **more: Any) -> SipTls:
     where = ca or folder
     return SipTls(
         listen="127.0.0.1:0", ca=str(where / "ca.pem"), cert=str(folder / f"{stem}.pem"),
@@ -172,12 +174,12 @@
     )  # fmt: skip
 
 
-def keys_of(folder: Path, stem: str, ca: Path | None = None) -> Keys:
-    return Keys(tls_of(folder, stem, ca))
+def load_keys(folder: Path, stem: str, ca: Path | None = None) -> Keys:
+    return Keys(tls_settings(folder, stem, ca))
 
 
-def shake(client: Tls, server: Tls) -> None:
-    """Both ends until nothing more is to be sent."""
+def run_handshake(client: Tls, server: Tls) -> None:
+    """Pass bytes between both ends until neither has any to send."""
     data = client.start()
     for _ in range(10):
         server.feed(data)
@@ -188,71 +190,74 @@
             return
 
 
-def test_the_codec_proves_both_ends_and_resumes(tmp_path: Path) -> None:
-    made = Authority.make(tmp_path, "test", NOW)
-    made.issue("x0.t", NOW), made.issue("x1.t", NOW)
-    zero, one = keys_of(tmp_path, "x0.t"), keys_of(tmp_path, "x1.t")
-    client, server = Tls(zero.client, False), Tls(one.server_context, True)
-    shake(client, server)
+def test_tls_authenticates_both_ends_and_resumes(tmp_path: Path) -> None:
+    authority = Authority.make(tmp_path, "test", NOW)
+    authority.issue("x0.t", NOW), authority.issue("x1.t", NOW)
+    keys0, keys1 = load_keys(tmp_path, "x0.t"), load_keys(tmp_path, "x1.t")
+    client, server = Tls(keys0.client, False), Tls(keys1.server_context, True)
+    run_handshake(client, server)
     assert client.done and server.done and not client.failure + server.failure
     assert client.peer_certificate().names == ("x1.t",) and server.peer_certificate().names == ("x0.t",)
     assert server.feed(client.write(b"a" * 200_000)) == b"a" * 200_000
     assert client.feed(server.write(b"b")) == b"b"
-    zero.save_session("there", client)
-    again, far = Tls(zero.client, False, zero.sessions["there"]), Tls(one.server_context, True)
-    shake(again, far)
-    assert again.resumed and far.resumed, "half the work"
+    keys0.save_session("there", client)
+    again, far = Tls(keys0.client, False, keys0.sessions["there"]), Tls(keys1.server_context, True)
+    run_handshake(again, far)
+    assert again.resumed and far.resumed, "the second handshake resumes the session"
     assert far.peer_certificate() == server.peer_certificate(), (
-        "a resumed session shows the same certificate, judged anew"
+        "a resumed session has the same peer certificate"
     )
     far.feed(again.close_notify())
     assert far.closed
-    zero.load()
-    zero.save_session("there", again)
-    assert not zero.sessions, "a session of keys that are no more is not kept"
+    keys0.load()
+    keys0.save_session("there", again)
+    assert not keys0.sessions, "a session is not saved after its keys were replaced"
 
 
-def test_the_codec_refuses(tmp_path: Path) -> None:
-    made, other = Authority.make(tmp_path / "a", "test", NOW), Authority.make(tmp_path / "b", "test", NOW)
-    made.issue("x0.t", NOW), other.issue("x1.t", NOW)
-    server = keys_of(made.folder, "x0.t").server_context
-    wrong_ca = Tls(keys_of(other.folder, "x1.t", made.folder).client, False)
+def test_tls_refuses_invalid_handshakes(tmp_path: Path) -> None:
+    authority, other = (
+        Authority.make(tmp_path / "a", "test", NOW),
+        Authority.make(tmp_path / "b", "test", NOW),
+    )
+    authority.issue("x0.t", NOW), other.issue("x1.t", NOW)
+    server = load_keys(authority.folder, "x0.t").server_context
+    wrong_ca = Tls(load_keys(other.folder, "x1.t", authority.folder).client, False)
     far = Tls(server, True)
-    shake(wrong_ca, far)
-    assert far.failure and not far.done, "a CA of the same name, but not ours"
+    run_handshake(wrong_ca, far)
+    assert far.failure and not far.done, "a CA with the same name but another key is rejected"
     bare = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
     bare.check_hostname, bare.verify_mode = False, ssl.CERT_NONE
     far = Tls(server, True)
-    shake(Tls(bare, False), far)
+    run_handshake(Tls(bare, False), far)
     assert "did not return a certificate" in far.failure and not far.done
     old = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
     old.check_hostname, old.verify_mode = False, ssl.CERT_NONE
     old.minimum_version, old.maximum_version = ssl.TLSVersion.TLSv1, ssl.TLSVersion.TLSv1_1
     old.set_ciphers("ALL:@SECLEVEL=0")
     far = Tls(server, True)
-    shake(Tls(old, False), far)
-    assert far.failure and not far.done, "nothing below TLS 1.2"
+    run_handshake(Tls(old, False), far)
+    assert far.failure and not far.done, "versions below TLS 1.2 are rejected"
     far = Tls(server, True)
     far.feed(b"INVITE sip:a@b SIP/2.0\r\n\r\n")
-    assert far.failure and not far.done, "plain words on the port for TLS"
+    assert far.failure and not far.done, "plain SIP on the TLS port is rejected"
     far = Tls(server, True)
     for _ in range(20):
         far.feed(b"\x16\x03\x01\x3f\xff" + b"\x01\x00\xff\xff" + b"\0" * 16379)
     assert far.failure and not far.feed(b"x")
 
 
-def test_keys_of_no_use_are_named_and_never_shown(tmp_path: Path) -> None:
-    made = Authority.make(tmp_path, "test", NOW)
-    made.issue("x0.t", NOW), made.issue("x1.t", NOW)
+def test_unusable_keys_are_reported_without_their_contents(tmp_path: Path) -> None:
+    authority = Authority.make(tmp_path, "test", NOW)
+    authority.issue("x0.t", NOW), authority.issue("x1.t", NOW)
     secret = (tmp_path / "x0.t.key").read_text().splitlines()[1]
-    keys = keys_of(tmp_path, "x0.t")
+    keys = load_keys(tmp_path, "x0.t")
     was = keys.server_context
     os.replace(tmp_path / "x1.t.key", tmp_path / "x0.t.key")
     assert keys.files_changed()
     with pytest.raises(KeysError) as caught:
         keys.load()
     assert "x0.t.key" in str(caught.value) and secret not in str(caught.value)
-    assert keys.server_context is was, "what was good stays in force"
+    assert keys.server_context is was, "the valid keys stay in use"
     os.chmod(tmp_path / "x0.t.key", 0o644)
     with pytest.raises(KeysError, match="others can read it"):
         keys.load()
@@ -262,7 +267,7 @@
 
 
 class Site:
-    """Call servers 0, 1, ... with lines and callers, joined over TLS on one loop."""
+    """Call servers 0, 1, ... with lines and callers, connected over TLS on one event loop."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, folder: Path, hours: float = 24.0) -> None:
         self.loop, self.folder, self.hours = loop, folder, hours
@@ -332,26 +337,26 @@
     def events(self, number: int) -> list[str]:
         return self.logs[number].events()
 
-    def why(self, number: int, event: str = "peer not authenticated") -> str:
+    def reasons(self, number: int, event: str = "peer not authenticated") -> str:
         return "; ".join(str(f.get("why")) for e, f in self.logs[number].lines if e == event)
 
-    async def knock(
+    async def connect_with_key(
         self, number: int, folder: Path, stem: str, ca: Path | None = None, plain: bool = False,
         host: str = "127.3.0.1",
-    ) -> Knocker:  # fmt: skip
-        """Connect to a server with that key."""
+    ) -> TlsClient:  # fmt: skip
+        """Connect to a server with the given key, or without TLS."""
         server = self.servers[number]
-        context = None if plain else keys_of(folder, stem, ca or self.folder).client
+        context = None if plain else load_keys(folder, stem, ca or self.folder).client
         where, port = split_address(server.address if plain else server.tls_address)
         _, one = await self.loop.create_connection(
-            lambda: Knocker(context), where, port, local_addr=(host, 0)
+            lambda: TlsClient(context), where, port, local_addr=(host, 0)
         )
         await asyncio.sleep(0.3)
         return one
 
 
-class Knocker(asyncio.Protocol):
-    """A client with a key of its own that says what it is told."""
+class TlsClient(asyncio.Protocol):
+    """A client that sends given bytes over TLS, or plain where `context` is None."""
 
     def __init__(self, context: ssl.SSLContext | None) -> None:
         self.tls = Tls(context, False) if context is not None else None
@@ -369,7 +374,7 @@
             self.transport.write(self.tls.wanted())
         self.statuses += [getattr(m, "status", 0) for m in self.parser.feed(data)]
 
-    def say(self, data: bytes) -> None:
+    def send(self, data: bytes) -> None:
         self.transport.write(data if self.tls is None else self.tls.write(data))
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -387,7 +392,7 @@
     return message.encode()
 
 
-def play(
+def run_site(
     folder: Path, what: Callable[[Site], Coroutine[Any, Any, None]], hours: float = 24.0, **trust: Any
 ) -> Site:
     loop = VirtualLoop()
@@ -404,29 +409,31 @@
     return site
 
 
-async def calls(site: Site, count: int, at: int = 0, to: int = 1) -> list[Any]:
-    asks = [site.callers[at].offer(PLAIN, f"{4000 + to}1234") for _ in range(count)]
+async def offer_calls(site: Site, count: int, at: int = 0, to: int = 1) -> list[Any]:
+    offers = [site.callers[at].offer(PLAIN, f"{4000 + to}1234") for _ in range(count)]
     await asyncio.sleep(1)
-    return [a.outcome for a in asks]
+    return [a.outcome for a in offers]
 
 
-def test_calls_stand_over_links_on_which_both_ends_are_proven(tmp_path: Path) -> None:
+def test_calls_stand_over_authenticated_links(tmp_path: Path) -> None:
     async def run(site: Site) -> None:
         await site.start()
-        assert await calls(site, 5) == ["stands"] * 5 == await calls(site, 5, 1, 0)
+        assert await offer_calls(site, 5) == ["stands"] * 5 == await offer_calls(site, 5, 1, 0)
         server = site.servers[0]
         assert server.engine is not None and all(
             f in server.peer_certificates
             for f in server.engine.links.values()
             if f in [w.flow for w in server.connections.values() if w.tls]
         )
-        assert sum(w.tls is not None for w in server.connections.values()) == 2, "one dialled, one taken"
+        assert sum(w.tls is not None for w in server.connections.values()) == 2, (
+            "one link dialled, one accepted"
+        )
 
-    site = play(tmp_path, run)
+    site = run_site(tmp_path, run)
     assert "peer not authenticated" not in site.events(0) + site.events(1)
 
 
-KNOCKS: dict[str, tuple[Callable[[Site, Path], tuple[Path, str]], str]] = {
+REJECTED_KEYS: dict[str, tuple[Callable[[Site, Path], tuple[Path, str]], str]] = {
     "of a wrong CA": (
         lambda site, p: (Authority.make(p / "b", "test", NOW).issue("x1.t", NOW).parent, "x1.t"),
         "certificate",
@@ -441,11 +448,11 @@
     "of a name that nobody has": (
         lambda site, p: (site.ca.issue("x9.t", NOW).parent, "x9.t"), "settings do not name",
     ),
-    "revoked": (lambda site, p: (revoked(site).folder, "gone"), "revoked"),
+    "revoked": (lambda site, p: (issue_revoked(site).folder, "gone"), "revoked"),
 }  # fmt: skip
 
 
-def revoked(site: Site) -> Authority:
+def issue_revoked(site: Site) -> Authority:
     site.ca.issue("x1.t", NOW, stem="gone")
     serial = site.ca.rows()[-1].serial
     site.ca.revoke(serial, NOW)
@@ -453,89 +460,94 @@
     return site.ca
 
 
-@pytest.mark.parametrize("name", KNOCKS)
-def test_a_key_that_does_not_count_is_shown_the_door(tmp_path: Path, name: str) -> None:
-    make, word = KNOCKS[name]
+@pytest.mark.parametrize("name", REJECTED_KEYS)
+def test_closes_connection_with_unacceptable_certificate(tmp_path: Path, name: str) -> None:
+    make, word = REJECTED_KEYS[name]
 
     async def run(site: Site) -> None:
         await site.start()
         folder, stem = make(site, tmp_path / "more")
-        one = await site.knock(0, folder, stem)
-        one.say(notify("0-1"))
+        client = await site.connect_with_key(0, folder, stem)
+        client.send(notify("0-1"))
         await asyncio.sleep(0.5)
-        assert one.lost and one.statuses == []
-        assert await calls(site, 3) == ["stands"] * 3
-        assert word in site.why(0)
+        assert client.lost and client.statuses == []
+        assert await offer_calls(site, 3) == ["stands"] * 3
+        assert word in site.reasons(0)
 
-    play(tmp_path, run)
+    run_site(tmp_path, run)
 
 
-def test_a_proven_exchange_speaks_for_its_own_group_alone_and_nobody_for_it_over_plain(
+def test_exchange_acts_only_for_its_own_group_and_only_over_tls(
     tmp_path: Path,
 ) -> None:
     async def run(site: Site) -> None:
         await site.start(3)
-        insider = await site.knock(0, tmp_path, "x1.t")
-        insider.say(notify("0-2"))
+        insider = await site.connect_with_key(0, tmp_path, "x1.t")
+        insider.send(notify("0-2"))
         await asyncio.sleep(0.2)
         assert insider.statuses == [403] and not insider.lost
-        for host in ("127.1.0.2", "127.2.0.7", "127.3.0.1"):  # its own address, a caller's, nobody's
-            plain = await site.knock(0, tmp_path, "", plain=True, host=host)
-            plain.say(notify("0-1"))
+        for host in ("127.1.0.2", "127.2.0.7", "127.3.0.1"):  # its own address, a caller's, an unknown one
+            plain = await site.connect_with_key(0, tmp_path, "", plain=True, host=host)
+            plain.send(notify("0-1"))
             await asyncio.sleep(0.2)
-            assert plain.statuses == [403], "a downgrade to plain"
-        assert await calls(site, 2) == ["stands"] * 2 == await calls(site, 2, 0, 2)
-        insider.say(notify("0-1"))
+            assert plain.statuses == [403], "a plain connection does not act for an exchange"
+        assert await offer_calls(site, 2) == ["stands"] * 2 == await offer_calls(site, 2, 0, 2)
+        insider.send(notify("0-1"))
         await asyncio.sleep(0.5)
         assert insider.statuses[-1] == 200 and site.servers[0].engine is not None
-        assert site.servers[0].engine.ledgers[1].free == 0, "what an insider can do: its own group"
-        assert await calls(site, 2, 0, 2) == ["stands"] * 2
+        assert site.servers[0].engine.ledgers[1].free == 0, (
+            "an exchange can block the circuits of its own group"
+        )
+        assert await offer_calls(site, 2, 0, 2) == ["stands"] * 2
 
-    play(tmp_path, run)
+    run_site(tmp_path, run)
 
 
-def test_a_link_to_another_than_was_meant_is_none(tmp_path: Path) -> None:
+def test_rejects_link_to_unexpected_exchange(tmp_path: Path) -> None:
     async def run(site: Site) -> None:
         site.stem = lambda number: f"x{number}.t" if number == 0 else "x7.t"  # type: ignore[method-assign]
         await site.start()
-        assert await calls(site, 2) != ["stands"] * 2
-        assert "found identity x7.t; allowed at this address: x1.t" in site.why(0)
-        assert "settings do not name" in site.why(1) or site.why(1) == ""
+        assert await offer_calls(site, 2) != ["stands"] * 2
+        assert "found identity x7.t; allowed at this address: x1.t" in site.reasons(0)
+        assert "settings do not name" in site.reasons(1) or site.reasons(1) == ""
 
-    play(tmp_path, run)
+    run_site(tmp_path, run)
 
 
-def test_a_handshake_that_never_ends_is_ended(tmp_path: Path) -> None:
+def test_unfinished_handshake_times_out(tmp_path: Path) -> None:
     async def run(site: Site) -> None:
         await site.start()
         where, port = split_address(site.servers[0].tls_address)
-        idle = [await site.loop.create_connection(lambda: Knocker(None), where, port) for _ in range(80)]
+        idle = [await site.loop.create_connection(lambda: TlsClient(None), where, port) for _ in range(80)]
         for transport, _ in idle[::2]:
             transport.write(b"\x16\x03\x01\x02\x00")
-        assert await calls(site, 3) == ["stands"] * 3
+        assert await offer_calls(site, 3) == ["stands"] * 3
         await asyncio.sleep(4)
-        assert all(one.lost for _, one in idle) and not site.servers[0].handshaking
-        assert "handshake timed out" in site.why(0)
+        assert all(client.lost for _, client in idle) and not site.servers[0].handshaking
+        assert "handshake timed out" in site.reasons(0)
 
-    site = play(tmp_path, run)
+    site = run_site(tmp_path, run)
     assert "too many silent connections of one source" in site.events(0)
 
 
-def test_keys_are_rotated_while_calls_stand_and_none_is_cut(tmp_path: Path) -> None:
+def test_key_rotation_cuts_no_standing_calls(tmp_path: Path) -> None:
     async def run(site: Site) -> None:
         await site.start(3, circuits=100)
-        asks = []
-        for round in range(6):
-            asks += [
+        offers = []
+        for batch in range(6):
+            offers += [
                 site.callers[a].offer(PLAIN, f"{4000 + (a + 1) % 3}1234") for a in range(3) for _ in range(8)
             ]
-            if round == 2:
+            if batch == 2:
                 for number in range(3):
                     site.ca.issue(site.stem(number), site.epoch())
             await asyncio.sleep(0.4)
         await asyncio.sleep(1)
         finals = [c.finals for c in site.callers]
-        assert [a.outcome for a in asks] == ["stands"] * len(asks), (finals, [log.lines for log in site.logs])
+        assert [a.outcome for a in offers] == ["stands"] * len(offers), (
+            finals,
+            [log.lines for log in site.logs],
+        )
         for number, server in enumerate(site.servers):
             assert site.events(number).count("keys read") == 1 and server.credentials is not None
             assert server.engine is not None
@@ -548,16 +560,16 @@
                     ), "the link uses the renewed certificate"
         await asyncio.sleep(400)
         assert all(not s.replaced_flows and not s.engine.calls for s in site.servers if s.engine), (
-            "old links are gone"
+            "replaced links are closed"
         )
-        assert all(a.outcome == "stands" and not a.cut for a in asks)
+        assert all(a.outcome == "stands" and not a.cut for a in offers)
 
         assert all("link lost" not in site.events(n) for n in range(3))
 
-    play(tmp_path, run)
+    run_site(tmp_path, run)
 
 
-def test_a_peer_that_is_revoked_is_gone_at_once_and_nobody_elses_call(tmp_path: Path) -> None:
+def test_revocation_cuts_only_the_calls_of_that_peer(tmp_path: Path) -> None:
     async def run(site: Site) -> None:
         await site.start(3, circuits=300)
         mine, other = [], []
@@ -570,58 +582,60 @@
         assert engine is not None and len(engine.ledgers[1].busy) > 150
         site.ca.revoke("x1.t", site.epoch())
         await asyncio.sleep(1.5)
-        assert not engine.ledgers[1].busy, "no circuit stays busy"
+        assert not engine.ledgers[1].busy, "all circuits of the revoked peer are released"
         assert not any(a.cut for a in other) and sum(a.cut for a in mine) > 150
-        assert "revoked" in site.why(0, "peer certificate no longer accepted") and "revoked" in site.why(0)
-        assert await calls(site, 3, 0, 2) == ["stands"] * 3
+        assert "revoked" in site.reasons(
+            0, "peer certificate no longer accepted"
+        ) and "revoked" in site.reasons(0)
+        assert await offer_calls(site, 3, 0, 2) == ["stands"] * 3
 
-    play(tmp_path, run)
+    run_site(tmp_path, run)
 
 
-def test_a_certificate_that_ends_is_renewed_ahead_or_the_link_is_closed(tmp_path: Path) -> None:
+def test_link_is_closed_at_expiry_unless_the_certificate_is_renewed(tmp_path: Path) -> None:
     async def run(site: Site) -> None:
         await site.start()
-        assert await calls(site, 2) == ["stands"] * 2
+        assert await offer_calls(site, 2) == ["stands"] * 2
         await asyncio.sleep(45)
         site.ca.issue(site.stem(0), site.epoch(), 1)
         await asyncio.sleep(80)
-        assert "expired" in site.why(0, "peer certificate no longer accepted") and "expires in" in str(
+        assert "expired" in site.reasons(0, "peer certificate no longer accepted") and "expires in" in str(
             site.logs[1].lines
         )
-        assert await calls(site, 1) != ["stands"]
+        assert await offer_calls(site, 1) != ["stands"]
         site.ca.issue(site.stem(1), site.epoch(), 1)
         await asyncio.sleep(5)
-        assert await calls(site, 2) == ["stands"] * 2
+        assert await offer_calls(site, 2) == ["stands"] * 2
 
-    play(tmp_path, run, hours=1 / 60)
+    run_site(tmp_path, run, hours=1 / 60)
 
 
-def test_a_clock_a_day_off_is_told_in_words(tmp_path: Path) -> None:
+def test_wrong_clock_is_reported_in_the_log(tmp_path: Path) -> None:
     async def run(site: Site) -> None:
         await site.start()
         site.servers[0].epoch = lambda: int((site.epoch() + 2 * 86_400) * 1000)
         await asyncio.sleep(2)
-        assert "expired 24 hours ago" in site.why(0, "peer certificate no longer accepted")
+        assert "expired 24 hours ago" in site.reasons(0, "peer certificate no longer accepted")
         site.servers[0].epoch = lambda: int(site.epoch() * 1000)
         await asyncio.sleep(4)
-        assert await calls(site, 2) == ["stands"] * 2, "and is back once the clock is right"
+        assert await offer_calls(site, 2) == ["stands"] * 2, "links are up again once the clock is right"
 
-    play(tmp_path, run)
+    run_site(tmp_path, run)
 
 
-def test_a_key_rotated_in_the_middle_of_a_drain_cuts_nothing(tmp_path: Path) -> None:
+def test_key_rotation_during_a_drain_cuts_no_calls(tmp_path: Path) -> None:
     async def run(site: Site) -> None:
         await site.start()
-        asks = [site.callers[0].offer(PLAIN, "40011234") for _ in range(12)]
+        offers = [site.callers[0].offer(PLAIN, "40011234") for _ in range(12)]
         await asyncio.sleep(1)
         site.servers[0].stop()
         for number in range(2):
             site.ca.issue(site.stem(number), site.epoch())
         await asyncio.sleep(10)
-        assert [a.outcome for a in asks] == ["stands"] * 12 and not any(a.cut for a in asks)
+        assert [a.outcome for a in offers] == ["stands"] * 12 and not any(a.cut for a in offers)
         assert "keys read" in site.events(0) and "stopped" not in site.events(0)
-        assert await calls(site, 1) == ["given up"], "a call that comes now is told to come back"
+        assert await offer_calls(site, 1) == ["given up"], "a new call is refused during the drain"
         await asyncio.sleep(25)
-        assert "stopped" in site.events(0), "the drain is over in its own time"
+        assert "stopped" in site.events(0), "the drain ends as usual"
 
-    play(tmp_path, run)
+    run_site(tmp_path, run)
