--- a/eiderstep/server/doors.py
+++ b/eiderstep/server/doors.py
@@ -385,13 +385,13 @@
     def _warn_own_expiry(self) -> None:
         assert self.credentials is not None
         now = self.epoch() / 1000
-        said = expiry_warning(self.credentials.own_certificate, now)
-        if said:
+        warning = expiry_warning(self.credentials.own_certificate, now)
+        if warning:
             self._log_limited(
                 "warning",
                 "own certificate needs renewal",
                 "",
-                {"certificate": self.credentials.tls.cert, "it": said},
+                {"certificate": self.credentials.tls.cert, "it": warning},
             )
         if (
             self.credentials.revocation_list.next_update
@@ -416,8 +416,8 @@
             connection = self.connections.get(flow)
             if why and connection is not None:
                 del self.peer_certificates[flow]
-                said = {"peer": connection.peer, "names": certificate.names, "why": why}
-                self.log("warning", "peer certificate no longer accepted", "", said)
+                fields = {"peer": connection.peer, "names": certificate.names, "why": why}
+                self.log("warning", "peer certificate no longer accepted", "", fields)
                 connection.abort()
         self._warn_own_expiry()
         self._redial_expiring(now)
--- a/eiderstep/server/node.py
+++ b/eiderstep/server/node.py
@@ -134,7 +134,7 @@
             return
         registrant.cancel()
         registrant.over.add_done_callback(lambda _: self._report_stopped())
-        # An unreachable registry does not hold up the stop any longer.
+        # Limits the wait for an unreachable registry.
         self.loop.call_later(RELEASE_TIMEOUT_S, self._report_stopped)
 
     def _report_stopped(self) -> None:
--- a/eiderstep/server/tls.py
+++ b/eiderstep/server/tls.py
@@ -158,14 +158,14 @@
         return self._file_stamps() != self.file_stamps
 
     def _file_stamps(self) -> tuple[object, ...]:
-        tls, found = self.tls, list[object]()
+        tls, stamps = self.tls, list[object]()
         for name in (tls.ca, tls.cert, tls.key, tls.crl):
             try:
                 row = Path(name).stat() if name else None
-                found.append((row.st_mtime_ns, row.st_ino, row.st_size) if row else None)
+                stamps.append((row.st_mtime_ns, row.st_ino, row.st_size) if row else None)
             except OSError:
-                found.append("missing")
-        return tuple(found)
+                stamps.append("missing")
+        return tuple(stamps)
 
     def _context(self, side: int) -> ssl.SSLContext:
         tls, context = self.tls, ssl.SSLContext(side)
--- a/eiderstep/trust/limits.py
+++ b/eiderstep/trust/limits.py
@@ -1,11 +1,13 @@
 """Admission control and rate limits for each source of traffic.  No I/O, no clock.
 
 A source is identified by `Party.source`: an address on a plain link, an authenticated name over TLS.  There
-are four limits, listed from the mildest on.  Connections above the allowed number are closed at once.
-Requests that begin something and exceed the message rate are answered 503 with Retry-After.  Above
-`SLOW_DOWN_FACTOR` times that rate, the connections of the source are read more slowly, so that TCP flow
-control holds the sender back.  A connection that keeps sending unreadable messages is closed, and its source
-may connect again only after a pause that doubles each time.
+are four limits, in the order in which they take effect:
+- Connections above the allowed number are closed at once.
+- Requests that begin something and exceed the message rate are answered 503 with Retry-After.
+- Above `SLOW_DOWN_FACTOR` times that rate, the connections of the source are read more slowly, so that TCP
+  flow control holds the sender back.
+- A connection that keeps sending unreadable messages is closed, and its source may connect again only after a
+  pause that doubles each time.
 """
 
 from __future__ import annotations
--- a/eiderstep/trust/party.py
+++ b/eiderstep/trust/party.py
@@ -79,7 +79,7 @@
     def heard(self, listed: dict[str, int]) -> None:
         """Take addresses of exchanges from the list: office addresses and their exchange numbers.
 
-        Otherwise an exchange that moved would be unknown at its new address until the settings are changed.
+        Without them, an exchange that moved would be unknown at its new address until the settings change.
         The cost: whoever controls the register can make an address count as an exchange's, but it could also
         direct all our set-ups there.  On a plain network whose register is trusted less than its addresses,
         set `moves=False`, or use TLS, where addresses do not identify peers.
--- a/eiderstep/trust/rules.py
+++ b/eiderstep/trust/rules.py
@@ -28,7 +28,7 @@
     MARKS = auto()  # marking a call as redialled or cut
     ADVICE = auto()  # proposing a tandem for the call
     CLASS = auto()  # requesting a call class
-    WITHIN = auto()  # BYE, CANCEL, re-INVITE: requests on an existing call
+    WITHIN = auto()  # BYE, re-INVITE: requests within a dialog
     LATE = auto()  # a 2xx to a set-up whose state is already removed
 
 
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -111,9 +111,9 @@
         "600", "600", "644",
     ]  # fmt: skip
     assert read_crl(tmp_path / "ca" / "crl.pem", tmp_path / "ca" / "ca.pem").serials == frozenset()
-    gone = authority.revoke("x1.t", NOW + 20)
+    revoked_rows = authority.revoke("x1.t", NOW + 20)
     listed = read_crl(tmp_path / "ca" / "crl.pem", tmp_path / "ca" / "ca.pem")
-    assert listed.serials == {int(r.serial, 16) for r in gone} and len(gone) == 2
+    assert listed.serials == {int(r.serial, 16) for r in revoked_rows} and len(revoked_rows) == 2
     assert listed.next_update == NOW + 20 + 86_400
     assert [p.name for p in (tmp_path / "ca").iterdir() if p.name.startswith(".")] == []
 
@@ -348,11 +348,11 @@
         server = self.servers[number]
         context = None if plain else load_keys(folder, stem, ca or self.folder).client
         where, port = split_address(server.address if plain else server.tls_address)
-        _, one = await self.loop.create_connection(
+        _, client = await self.loop.create_connection(
             lambda: TlsClient(context), where, port, local_addr=(host, 0)
         )
         await asyncio.sleep(0.3)
-        return one
+        return client
 
 
 class TlsClient(asyncio.Protocol):
@@ -572,18 +572,18 @@
 def test_revocation_cuts_only_the_calls_of_that_peer(tmp_path: Path) -> None:
     async def run(site: Site) -> None:
         await site.start(3, circuits=300)
-        mine, other = [], []
+        peer1_calls, peer2_calls = [], []
         for _ in range(20):
-            mine += [site.callers[0].offer(PLAIN, "40011234") for _ in range(10)]
-            other += [site.callers[0].offer(PLAIN, "40021234")]
+            peer1_calls += [site.callers[0].offer(PLAIN, "40011234") for _ in range(10)]
+            peer2_calls += [site.callers[0].offer(PLAIN, "40021234")]
             await asyncio.sleep(0.2)
-        assert [a.outcome for a in mine + other].count("stands") > 200
+        assert [a.outcome for a in peer1_calls + peer2_calls].count("stands") > 200
         engine = site.servers[0].engine
         assert engine is not None and len(engine.ledgers[1].busy) > 150
         site.ca.revoke("x1.t", site.epoch())
         await asyncio.sleep(1.5)
         assert not engine.ledgers[1].busy, "all circuits of the revoked peer are released"
-        assert not any(a.cut for a in other) and sum(a.cut for a in mine) > 150
+        assert not any(a.cut for a in peer2_calls) and sum(a.cut for a in peer1_calls) > 150
         assert "revoked" in site.reasons(
             0, "peer certificate no longer accepted"
         ) and "revoked" in site.reasons(0)
