--- a/eiderstep/lab/bench.py
+++ b/eiderstep/lab/bench.py
@@ -55,7 +55,7 @@
     calls_per_cpu_open: float = 0.0  # calls per CPU-second, open loop at half the server's peak rate
     p50_ms: float = 0.0  # set-up time at half the server's peak rate
     p99_ms: float = 0.0
-    shares: dict[str, float] = field(default_factory=dict)
+    time_shares: dict[str, float] = field(default_factory=dict)
     bytes_per_call: float = 0.0  # per standing call
     turned_away: int = 0
 
@@ -80,7 +80,7 @@
 
 
 class ChildProcess:
-    """A process of the benchmark; it must print its first line when it is ready."""
+    """A child process of the benchmark; the constructor waits for its first line of output."""
 
     def __init__(self, *command: str) -> None:
         self.process = subprocess.Popen(
@@ -95,17 +95,20 @@
         return (int(stat[11]) + int(stat[12])) / CLOCK_TICKS_PER_SECOND
 
     def rss_bytes(self) -> int:
+        """Returns the resident set size."""
         return int(Path(f"/proc/{self.process.pid}/statm").read_text().split()[1]) * PAGE_BYTES
 
     def stop(self) -> None:
+        """Terminates the process and waits for its end."""
         assert self.process.stdin is not None
         self.process.stdin.close()
         self.process.terminate()
         self.process.wait()
 
 
-def called_numbers(count: int) -> list[str]:
-    return [f"{4000 + i + 1}{n:04d}" for n in range(50) for i in range(count)]
+def called_numbers(peer_count: int) -> list[str]:
+    """Returns 50 numbers of each exchange, the exchanges in turns."""
+    return [f"{4000 + i + 1}{n:04d}" for n in range(50) for i in range(peer_count)]
 
 
 def _start_server(ports: list[int], calls: int, folder: Path) -> tuple[ChildProcess, int]:
@@ -179,10 +182,10 @@
 
 
 def time_shares(peer_count: int, seconds: float) -> dict[str, float]:
-    """Exclusive shares of the server's CPU time by component, measured within this process.
+    """Returns exclusive shares of the server's CPU time by component, measured in this process.
 
     Each timed method reads the clock twice, which costs time too; the shares are of the CPU time of this run.
-    Patches the timed classes for good.
+    The timed classes stay patched.
     """
     from eiderstep.decide import Controller
     from eiderstep.engine.core import Engine
@@ -252,7 +255,7 @@
 
 
 def describe_machine() -> str:
-    """Names processor, cores, Python and uvloop versions, and whether the package is compiled."""
+    """Returns processor, cores, versions of Python and uvloop, and whether the package is compiled."""
     model = "unknown processor"
     for line in Path("/proc/cpuinfo").read_text().splitlines():
         if line.startswith("model name"):
--- a/eiderstep/lab/fuzz/beside.py
+++ b/eiderstep/lab/fuzz/beside.py
@@ -30,6 +30,7 @@
 
 
 def harness_settings() -> ServerSettings:
+    """Returns the settings of an engine with two exchanges and one network of callers."""
     return ServerSettings(
         number=0, listen="127.0.0.1:5060", context="t",
         classes=[CallClass(name="plain", aim=SECOND, give_up=9 * SECOND, mean_hold=10 * SECOND)],
@@ -91,6 +92,7 @@
         return received
 
     def deliver(self, flow: int, data: bytes) -> list[tuple[int, Message]]:
+        """Parses data as received on a flow, passes it to the engine and returns what the engine sends."""
         for item in Parser().feed(data):
             self.engine.message(self.now, flow, item)
         return self.flush_output()
--- a/eiderstep/lab/fuzz/targets.py
+++ b/eiderstep/lab/fuzz/targets.py
@@ -51,6 +51,7 @@
 
 
 def comparable(item: Message | BadMessage) -> str:
+    """Returns the encoded message, or the status with which the parser rejects it."""
     return item.encode().decode("latin-1") if isinstance(item, Message) else str(item.status)
 
 
--- a/eiderstep/lab/fuzz/worst.py
+++ b/eiderstep/lab/fuzz/worst.py
@@ -84,9 +84,9 @@
     return least_cpu, peak_bytes, accepted
 
 
-def mutate(rng: Random, one: bytes, other: bytes) -> bytes:
-    """Repeats a piece of `one`, inserts a token many times or a piece of `other`, or changes a byte."""
-    data, mutation = bytearray(one), rng.randrange(4)
+def mutate(rng: Random, parent: bytes, other: bytes) -> bytes:
+    """Repeats a piece of `parent`, inserts a token many times or a piece of `other`, or changes a byte."""
+    data, mutation = bytearray(parent), rng.randrange(4)
     position = rng.randrange(len(data) + 1)
     if mutation == 0:
         piece = bytes(data[position : position + rng.choice((1, 4, 16, 64, 256))])
--- a/eiderstep/lab/load.py
+++ b/eiderstep/lab/load.py
@@ -147,6 +147,7 @@
         )
 
     def hang_up(self, call_id: int, response_head: bytes) -> None:
+        """Sends the BYE of a standing call."""
         self._send_request("BYE", 2, call_id, response_head)
 
 
@@ -166,6 +167,7 @@
     async def connect(
         self, host: str, port: int, connections: int, tls_context: ssl.SSLContext | None = None
     ) -> None:
+        """Opens the connections of the callers."""
         loop = asyncio.get_running_loop()
         for _ in range(connections):
             _transport, caller = await loop.create_connection(
@@ -174,10 +176,12 @@
             self.callers.append(caller)
 
     def start_call(self, caller: Caller) -> None:
+        """Starts a call to the next number."""
         self.started += 1
         caller.send_invite(self.numbers[self.started % len(self.numbers)], self.started)
 
     def call_stands(self, caller: Caller, call_id: int, response_head: bytes) -> None:
+        """Records the set-up time; keeps the call standing or releases it."""
         self.set_up_times.append(time.perf_counter() - self.open_set_ups.pop(call_id)[0])
         if self.keep_standing:
             self.standing_calls[call_id] = (caller, response_head)
@@ -188,11 +192,13 @@
             caller.hang_up(call_id, response_head)
 
     def call_released(self, caller: Caller, call_id: int) -> None:
+        """Counts a call whose BYE was answered."""
         self.completed += 1
         if self.start_another is not None:
             self.start_another(caller)
 
     def call_refused(self, caller: Caller, call_id: int) -> None:
+        """Counts a refused call; in a closed loop the next one starts 10 ms later."""
         self.open_set_ups.pop(call_id, None)
         self.turned_away += 1
         if self.start_another is not None:
@@ -246,6 +252,7 @@
 
 
 async def _run_role(role: str, arguments: list[str]) -> None:
+    """Runs answering exchanges ("answerers") or a relay; prints the ports and runs until the parent exits."""
     loop = asyncio.get_running_loop()
     servers = []
     if role == "answerers":
--- a/eiderstep/lab/secure.py
+++ b/eiderstep/lab/secure.py
@@ -46,6 +46,7 @@
 
 
 def tls_settings(folder: Path, name: str) -> SipTls:
+    """Returns TLS settings with the key and certificate of this name."""
     ca, cert, key = (str(folder / file) for file in ("ca.pem", f"{name}.pem", f"{name}.key"))
     return SipTls(listen="127.0.0.1:0", ca=ca, cert=cert, key=key)
 
--- a/eiderstep/lab/sizing.py
+++ b/eiderstep/lab/sizing.py
@@ -47,7 +47,7 @@
     redials: int = 0  # how often a caller whose call failed redials
     outages: tuple[Outage, ...] = ()
     profile: Profile = flat
-    target: float = 0.02
+    target_loss: float = 0.02  # share of first tries that may be lost
     after: float = 0.0  # further seconds with the advised number of circuits
     busy_hour: bool = False  # size for and judge only the hour of the day with most first tries
 
@@ -68,8 +68,10 @@
     @staticmethod
     def lost(buckets: Sequence[Bucket], class_index: int) -> float:
         """Returns the share of a class's first tries that found no free circuit."""
-        first = sum(b.classes[class_index].first for b in buckets)
-        return sum(b.classes[class_index].blocked_first for b in buckets) / first if first else 0.0
+        first_tries = sum(b.classes[class_index].first for b in buckets)
+        return (
+            sum(b.classes[class_index].blocked_first for b in buckets) / first_tries if first_tries else 0.0
+        )
 
 
 def make_day(case: Case) -> Day:
@@ -104,7 +106,7 @@
     def __init__(self, world: Stage, case: Case, seed: int) -> None:
         self.world, self.case = world, case
         self.rng = Random(seed)
-        self.advised: Advice | None = None
+        self.advice: Advice | None = None
 
     async def run(self) -> None:
         world, case, loop = self.world, self.case, self.world.loop
@@ -141,12 +143,12 @@
         assert world.measure is not None
         store = Store(world.measure / "0.db", read_only=True)
         widths = [kind.width for kind in case.kinds]
-        found = loads(
+        class_loads = loads(
             judged_buckets(case, store.buckets(1), warm_up_seconds(case), case.seconds), len(widths)
         )
         store.close()
-        self.advised = advise(found, case.circuits, widths, [case.target] * len(widths))
-        world.resize(1, 0, self.advised.circuits)
+        self.advice = advise(class_loads, case.circuits, widths, [case.target_loss] * len(widths))
+        world.resize(1, 0, self.advice.circuits)
 
     async def _offer_calls(self, class_index: int, source: Source, began: float) -> None:
         world, loop = self.world, self.world.loop
@@ -207,7 +209,7 @@
             cancel_rest(loop)
             return Outcome(
                 judged_buckets(case, buckets, warm_up_seconds(case), case.seconds),
-                judge(world.captured(), world.facts()), left_calls, left_circuits, driver.advised,
+                judge(world.captured(), world.facts()), left_calls, left_circuits, driver.advice,
                 judged_buckets(
                     case, buckets, case.seconds + warm_up_seconds(case), case.seconds + case.after
                 ),
--- a/eiderstep/lab/trials.py
+++ b/eiderstep/lab/trials.py
@@ -83,7 +83,7 @@
     """The result of one case; losses are shares of first tries, by class."""
 
     case: Case
-    advised: int
+    advised_circuits: int
     losses_before: list[float]
     losses_after: list[float]
     rules_kept: bool  # and no callback of the run failed
@@ -94,7 +94,7 @@
     def passed(self) -> bool:
         """Whether no class exceeds its loss target by more than `LOSS_TOLERANCE`, no rule is broken, no call
         or circuit is left over, and the new size cut no call."""
-        over = any(lost > self.case.target + LOSS_TOLERANCE for lost in self.losses_after)
+        over = any(lost > self.case.target_loss + LOSS_TOLERANCE for lost in self.losses_after)
         cut_by_outage = bool(self.case.outages)
         return not over and self.rules_kept and not self.left_over and (cut_by_outage or not self.cut)
 
@@ -254,13 +254,13 @@
             )
         )
     rows = []
-    for result in sorted(results, key=lambda result: result.advised):
+    for result in sorted(results, key=lambda result: result.advised_circuits):
         loss_after = ", ".join(f"{x:.4f}" for x in result.losses_after)
         loss_before = ", ".join(f"{x:.4f}" for x in result.losses_before)
         verdict = "yes" if result.passed else "NO"
         rows.append(
             f"| {result.case.name} | {result.case.circuits} | {loss_before} "
-            f"| {result.advised} | {loss_after} | {verdict} |"
+            f"| {result.advised_circuits} | {loss_after} | {verdict} |"
         )
     counted = []
     held = total = 0
