--- a/eiderstep/audit/__init__.py
+++ b/eiderstep/audit/__init__.py
@@ -1,6 +1,16 @@
-"""The five rules judged from captured traffic alone, by nothing that the engine is made of but the codec."""
+"""Checks the five call rules against captured traffic.  Shares only the SIP codec with the engine."""
 
 from eiderstep.audit.capture import Capture, Record
-from eiderstep.audit.rules import Away, Breach, ColdStart, Facts, Stall, Verdict, judge
+from eiderstep.audit.rules import Breach, ColdStart, Facts, Stall, UnavailablePeriod, Verdict, judge
 
-__all__ = ["Away", "Breach", "Capture", "ColdStart", "Facts", "Record", "Stall", "Verdict", "judge"]
+__all__ = [
+    "Breach",
+    "Capture",
+    "ColdStart",
+    "Facts",
+    "Record",
+    "Stall",
+    "UnavailablePeriod",
+    "Verdict",
+    "judge",
+]
--- a/eiderstep/audit/capture.py
+++ b/eiderstep/audit/capture.py
@@ -1,4 +1,4 @@
-"""Captures: every byte that passed a call server's sockets, with time, connection, peer and direction."""
+"""Captures of all bytes sent and received on a call server's sockets."""
 
 from __future__ import annotations
 
@@ -9,10 +9,11 @@
 
 
 class Record(msgspec.Struct, array_like=True, frozen=True):
-    """One chunk of bytes, or the beginning ("up") or end ("down") of a connection.
+    """One chunk of bytes, or the opening or closing of a connection.
 
-    `time` in ns; `node` the call server; `label` the connection, "to ADDRESS #n" where the server dialled it;
-    `way` "in", "out", "up", "down", or "killed" for the end of the server itself.
+    `time` is in ns.  `node` is the name of the call server.  `label` names the connection: "to ADDRESS #n" if
+    the server opened it, "from ADDRESS #n" if the peer did.  `way` is "in" or "out" for bytes, "up" or "down"
+    for an opened or closed connection, and "killed" if the server process itself ended.
     """
 
     time: int
@@ -20,11 +21,11 @@
     label: str
     peer: str
     way: str
-    data: str  # bytes as latin-1
+    data: str  # the bytes, decoded as latin-1
 
 
 class Capture:
-    """Records in the order in which they were made."""
+    """Records in the order in which they were added."""
 
     def __init__(self) -> None:
         self.records: list[Record] = []
@@ -36,7 +37,7 @@
         self.records.append(Record(time, node, label, peer, way, data.decode("latin-1")))
 
     def write(self, path: Path) -> None:
-        """JSON, a record a line."""
+        """Write one JSON record per line."""
         encode = msgspec.json.Encoder().encode
         with path.open("wb") as sink:
             for record in self.records:
@@ -44,28 +45,28 @@
 
     @classmethod
     def read(cls, path: Path) -> Capture:
-        """Raises ValueError naming the line that is no record."""
+        """Read a file made by `write`.  Raises ValueError with the number of the first invalid line."""
         capture, decoder = cls(), msgspec.json.Decoder(Record)
         for number, line in enumerate(path.read_bytes().splitlines(), 1):
             try:
                 capture.records.append(decoder.decode(line))
             except msgspec.MsgspecError as problem:
-                raise ValueError(f"{path}:{number}: not a record: {problem}") from None
+                raise ValueError(f"{path}:{number}: not a capture record: {problem}") from None
         return capture
 
     @classmethod
     def merged(cls, captures: list[Capture]) -> Capture:
-        """Captures of several servers as one, in order of time."""
-        whole = cls()
-        whole.records = sorted((r for c in captures for r in c.records), key=lambda r: r.time)
-        return whole
+        """Merge the captures of several servers, ordered by time."""
+        combined = cls()
+        combined.records = sorted((r for c in captures for r in c.records), key=lambda r: r.time)
+        return combined
 
     def __iter__(self) -> Iterator[Record]:
         return iter(self.records)
 
 
 class Tracer:
-    """What a call server calls for each chunk."""
+    """Adds the records of one call server to a capture; the server calls it for each chunk."""
 
     def __init__(self, capture: Capture, node: str) -> None:
         self.capture, self.node = capture, node
--- a/eiderstep/audit/eureka.py
+++ b/eiderstep/audit/eureka.py
@@ -1,7 +1,7 @@
-"""What a call server heard from a Eureka registry, read from its captures.  Shares no code with the reader.
+"""Reads the responses of a Eureka registry from a capture.  Shares no code with the registry client.
 
-An answer counts when its last byte is in.  One that is not whole, not the API's format, or lists under half
-of what this registry has listed at most, says nothing of a single exchange.
+A response counts from the time of its last byte.  It is ignored if it is incomplete, malformed, empty, or a
+full list with less than half of the largest number of instances that this registry has listed.
 """
 
 from __future__ import annotations
@@ -16,57 +16,64 @@
 
 
 @dataclass(frozen=True)
-class Row:
-    """One instance: address, whether it is up, whether the answer says it has left, its start as told."""
+class Instance:
+    """One instance of a response.
+
+    `office` is its address; `removed` is set if a delta reports it as deleted; `started` is the start time in
+    its metadata, unparsed.
+    """
 
     office: str
     up: bool
-    left: bool
+    removed: bool
     started: str
 
     @property
-    def born(self) -> int:
-        """The start as a number; one that is none is older than any."""
+    def start_order(self) -> int:
+        """The start time as a sort key; -1, older than any valid one, if it is not a number."""
         return int(self.started) if self.started.isascii() and self.started.isdigit() else -1
 
 
 @dataclass(frozen=True)
-class Heard:
-    """One answer.  `whole`: a list, in which an absence says something; else a delta."""
+class RegistryResponse:
+    """One response.
+
+    `is_full`: it is a full list, in which a missing instance is gone; otherwise it is a delta.
+    """
 
-    whole: bool
-    rows: dict[str, Row]
+    is_full: bool
+    instances: dict[str, Instance]
 
 
-class Stream:
-    """The connections of one server to one registry address, one after the other."""
+class ResponseStream:
+    """The successive connections of one call server to one registry address."""
 
     def __init__(self) -> None:
-        self.asked: list[str] = []
-        self.most = 0  # instances listed at once
-        self.done: list[Heard] = []
-        self._fresh()
+        self.requested_paths: list[str] = []
+        self.max_instances = 0  # largest full list so far
+        self.completed: list[RegistryResponse] = []
+        self._reset()
 
-    def _fresh(self) -> None:
+    def _reset(self) -> None:
         self.parser: Any = httptools.HttpResponseParser(self)
         self.headers: dict[str, str] = {}
         self.body = b""
 
-    def record(self, way: str, data: bytes) -> list[Heard]:
-        """One record of the capture; the answers that it ends."""
+    def feed(self, way: str, data: bytes) -> list[RegistryResponse]:
+        """Process one record of the capture; return the responses that it completes."""
         if way == "up":
-            self.asked.clear()
-            self._fresh()
+            self.requested_paths.clear()
+            self._reset()
         elif way == "out":
             line = data.split(b"\r\n", 1)[0].decode("latin-1").split(" ")
-            self.asked.append(line[1] if line[0] == "GET" and len(line) == 3 else "")
+            self.requested_paths.append(line[1] if line[0] == "GET" and len(line) == 3 else "")
         elif way == "in":
             try:
                 self.parser.feed_data(data)
             except httptools.HttpParserError:
-                self._fresh()
-        found, self.done = self.done, []
-        return found
+                self._reset()
+        completed, self.completed = self.completed, []
+        return completed
 
     def on_header(self, name: bytes, value: bytes) -> None:
         self.headers[name.decode("latin-1").lower()] = value.decode("latin-1")
@@ -76,59 +83,68 @@
 
     def on_message_complete(self) -> None:
         status, headers, body = self.parser.get_status_code(), self.headers, self.body
-        path = self.asked.pop(0) if self.asked else ""
-        self._fresh()
+        path = self.requested_paths.pop(0) if self.requested_paths else ""
+        self._reset()
         if status != 200 or not path:
             return
-        rows = read(headers, body)
-        if rows is None:
+        instances = decode_instances(headers, body)
+        if instances is None:
             return
-        whole = not path.endswith("/delta")
-        if whole:
-            self.most = max(self.most, len(rows))
-            if 2 * len(rows) < self.most or not rows:
+        is_full = not path.endswith("/delta")
+        if is_full:
+            self.max_instances = max(self.max_instances, len(instances))
+            if 2 * len(instances) < self.max_instances or not instances:
                 return
-        self.done.append(Heard(whole, rows))
+        self.completed.append(RegistryResponse(is_full, instances))
+
 
+def decode_instances(headers: dict[str, str], body: bytes) -> dict[str, Instance] | None:
+    """The instances of a response by address, or None if the body cannot be decoded.
 
-def read(headers: dict[str, str], body: bytes) -> dict[str, Row] | None:
-    """An answer's instances by address, of several at one address the latest start; None for no answer."""
+    Of several instances at one address, the one with the latest start is returned.
+    """
     try:
         if headers.get("content-encoding") == "gzip":
             body = zlib.decompress(body, 16 + zlib.MAX_WBITS)
         if "json" in headers.get("content-type", ""):
-            found = _json(msgspec.json.decode(body))
+            instances = _instances_from_json(msgspec.json.decode(body))
         else:
-            found = _xml(ElementTree.fromstring(body))
+            instances = _instances_from_xml(ElementTree.fromstring(body))
     except (zlib.error, msgspec.MsgspecError, ElementTree.ParseError, KeyError, TypeError, AttributeError):
         return None
-    rows: dict[str, Row] = {}
-    for row in found:
-        held = rows.get(row.office)
-        if held is None or row.born >= held.born:
-            rows[row.office] = row
-    return rows
+    by_office: dict[str, Instance] = {}
+    for instance in instances:
+        previous = by_office.get(instance.office)
+        if previous is None or instance.start_order >= previous.start_order:
+            by_office[instance.office] = instance
+    return by_office
 
 
-def _many(value: Any) -> list[Any]:
+def _as_list(value: Any) -> list[Any]:
     return value if isinstance(value, list) else [value]
 
 
-def _json(told: Any) -> list[Row]:
-    apps = told["applications"]["application"] if "applications" in told else told["application"]
-    rows = []
-    for app in _many(apps):
-        for one in _many(app["instance"]):
-            office = f"{one['ipAddr']}:{one['port']['$']}"
-            left = one.get("actionType") == "DELETED"
-            rows.append(Row(office, one["status"] == "UP", left, str(one["metadata"].get("started", ""))))
-    return rows
-
-
-def _xml(root: ElementTree.Element) -> list[Row]:
-    rows = []
-    for one in root.iter("instance"):
-        office = f"{one.findtext('ipAddr')}:{one.findtext('port')}"
-        left = one.findtext("actionType") == "DELETED"
-        rows.append(Row(office, one.findtext("status") == "UP", left, one.findtext("metadata/started") or ""))
-    return rows
+def _instances_from_json(document: Any) -> list[Instance]:
+    apps = document["applications"]["application"] if "applications" in document else document["application"]
+    instances = []
+    for app in _as_list(apps):
+        for item in _as_list(app["instance"]):
+            office = f"{item['ipAddr']}:{item['port']['$']}"
+            removed = item.get("actionType") == "DELETED"
+            instances.append(
+                Instance(office, item["status"] == "UP", removed, str(item["metadata"].get("started", "")))
+            )
+    return instances
+
+
+def _instances_from_xml(root: ElementTree.Element) -> list[Instance]:
+    instances = []
+    for item in root.iter("instance"):
+        office = f"{item.findtext('ipAddr')}:{item.findtext('port')}"
+        removed = item.findtext("actionType") == "DELETED"
+        instances.append(
+            Instance(
+                office, item.findtext("status") == "UP", removed, item.findtext("metadata/started") or ""
+            )
+        )
+    return instances
--- a/eiderstep/lab/world.py
+++ b/eiderstep/lab/world.py
@@ -1,4 +1,4 @@
-"""One day's world: call servers, stand-ins, proxies and registers on one event loop, virtual or real."""
+"""The environment of one test day: call servers, stand-ins, proxies and registers on one event loop."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from random import Random
 from typing import Any
 
-from eiderstep.audit import Away, Capture, ColdStart, Facts, Stall
+from eiderstep.audit import Capture, ColdStart, Facts, Stall, UnavailablePeriod
 from eiderstep.config.schema import (
     Caller,
     Limits,
@@ -39,17 +39,20 @@
 from eiderstep.standin.register import Register as RegisterStandin
 from eiderstep.standin.stranger import Stranger, Victim
 
-MEASURED = 10 * SECOND  # a bucket of a measured day
-PATIENT = 3600 * SECOND  # callers of a group of one circuit may say nothing for minutes
-NUMBERS = 1000  # subscribers of one exchange that are called
-AMPLE = 100_000.0  # set-ups a second: lines beside a processor that the emulator runs
-LOOK_TIME = 0.1  # seconds that a caller may wait longer for the look at its call than the queue it found
+MEASURED = 10 * SECOND  # bucket length of a day whose trunk groups are measured
+LONG_FIRST_MESSAGE = 3600 * SECOND  # on a measured group of one circuit a caller may be silent for minutes
+SUBSCRIBERS = 1000  # called numbers of one exchange
+# Set-ups per second: effectively unlimited, for subscriber lines whose call server's emulated processor sets
+# the limit.
+UNLIMITED_CAPACITY = 100_000.0
+# Seconds that a call may wait for its call server beyond the processor's queueing delay at its arrival.
+PROCESSING_MARGIN_S = 0.1
 Log = Callable[[str, str, str, dict[str, Any]], None]
 
 
 @dataclass
 class Site:
-    """One exchange with a call server of the product: its server, its register, its callers."""
+    """One exchange with an eiderstep call server, with its sources of the exchange list and its callers."""
 
     number: int
     lists: list[RegisterStandin | EurekaSite]
@@ -58,25 +61,28 @@
 
 
 def host_of(number: int) -> str:
-    """The loopback address of an exchange: who connects from there is that exchange."""
+    """The loopback address of an exchange; a call server identifies the exchange by it."""
     return f"127.1.{number // 250}.{number % 250 + 1}"
 
 
 def callers_host(number: int) -> str:
-    """That of its callers."""
+    """The loopback address of the callers of an exchange."""
     return f"127.2.{number // 250}.{number % 250 + 1}"
 
 
 CALLERS_NET = "127.2.0.0/16"
 
 
-def prefix(number: int) -> str:
-    """The digits that the numbers of an exchange begin with."""
+def number_prefix(number: int) -> str:
+    """The leading digits of the numbers of an exchange."""
     return f"{4000 + number}"
 
 
 class World:
-    """All that runs on a day.  `servers`: the exchanges that the product runs; the rest are stand-ins."""
+    """All components of a day.
+
+    `servers`: the exchanges with an eiderstep call server; the others are stand-ins.
+    """
 
     def __init__(
         self,
@@ -88,9 +94,9 @@
         folder: Path | None = None,
         mind: Mind | None = None,
     ) -> None:
-        """`folder`: call servers run in processes of their own and leave their captures there.
+        """`folder`: if set, call servers run in separate processes and write their captures to it.
 
-        `mind`: decides in place of the module (baselines).
+        `mind`: decides in place of the decision module (used for baselines).
         """
         self.mind = mind
         self.loop, self.day, self.seed, self.log = loop, day, seed, log
@@ -101,25 +107,29 @@
         self.past: list[Exchange] = []
         self.proxies: dict[tuple[int, int], Proxy] = {}
         self.sites: dict[int, Site] = {}
-        self.starts: list[tuple[int, float]] = []
+        self.cold_starts: list[tuple[int, float]] = []
         self.stalls: list[Stall] = []
         self.conditions = Conditions()
-        self.hosts: dict[int, Host] = {}  # of the exchanges' own processes; virtual time only
-        self.control: dict[int, Host] = {}  # of the call servers
-        self.kept: dict[tuple[int, int], float] = {}  # share of its circuits that a group was told to keep
-        self.lives: dict[int, int] = {}  # of call servers that were killed and came back
-        self.measure: Path | None = None  # a folder: call servers measure their groups into it
-        self.away: list[Away] = []
-        self.left_at: dict[int, int] = {}  # exchanges that are away, and since when (ns)
+        self.hosts: dict[int, Host] = {}  # processes of the exchanges; in virtual time only
+        self.control: dict[int, Host] = {}  # processes of the call servers; in virtual time only
+        self.kept: dict[tuple[int, int], float] = {}  # share of its circuits that a group still has
+        self.lives: dict[int, int] = {}  # number of restarts of each killed call server
+        self.measure: Path | None = None  # folder for the measurements of the trunk groups
+        self.unavailable: list[UnavailablePeriod] = []
+        self.left_at: dict[int, int] = {}  # unavailable exchanges, and since when (ns)
         self.strangers: list[Stranger | StrangerProcess] = []
-        self.known: dict[int, tuple[float, list[Victim]]] = {}  # what strangers know, and since when
+        # By call server: when its standing calls were last collected for the strangers, and these calls.
+        self.known: dict[int, tuple[float, list[Victim]]] = {}
         self.began = 0.0
 
     # -- building ------------------------------------------------------------------------------------------
 
     @contextmanager
     def on(self, number: int, control: bool = False) -> Iterator[None]:
-        """Sockets made within belong to that exchange, and run on its host or on its call server's."""
+        """Within this context, new sockets belong to the exchange and run on its host.
+
+        `control`: they run on the host of its call server.
+        """
         host = (self.control if control else self.hosts).get(number)
         self.place(number)
         if host is None:
@@ -129,32 +139,33 @@
                 yield
 
     def place(self, number: int) -> None:
-        """Sockets made from here on are at that exchange."""
+        """Assign the sockets created from now on to the exchange's place in the network."""
         if isinstance(self.loop, VirtualLoop):
             self.loop.at(f"x{number}")
 
     def numbers(self) -> dict[str, int]:
-        """Exchanges by the prefix of their numbers."""
-        return {prefix(n): n for n in range(self.day.fleet.count)}
+        """Exchanges by number prefix."""
+        return {number_prefix(n): n for n in range(self.day.fleet.count)}
 
     def linked(self, one: int, other: int) -> bool:
         return sorted((one, other)) not in [sorted(pair) for pair in self.day.fleet.unlinked]
 
     def circuits(self, one: int, other: int) -> int:
-        """A group is as large as the script says for each call server that loads it."""
-        loads = (one in self.servers) + (other in self.servers)
-        return self.day.fleet.circuits * max(loads, 1) if self.linked(one, other) else 0
+        """The size of a trunk group: the script's figure for each call server that sends calls over it."""
+        call_servers = (one in self.servers) + (other in self.servers)
+        return self.day.fleet.circuits * max(call_servers, 1) if self.linked(one, other) else 0
 
-    def plant(self, number: int, alone: bool) -> Plant:
+    def plant_settings(self, number: int, lines_only: bool) -> Plant:
+        """`lines_only`: the exchange has a call server, and the stand-in plays only its subscriber lines."""
         fleet, cold = self.day.fleet, self.day.rules.cold
         others = [n for n in range(fleet.count) if n != number]
-        beside = alone and fleet.own_work  # its call server's host has the processor
+        separate_processor = lines_only and fleet.own_work  # the processor belongs to the call server's host
         return Plant(
             number=number,
-            circuits={} if alone else {n: self.circuits(number, n) for n in others},
+            circuits={} if lines_only else {n: self.circuits(number, n) for n in others},
             numbers=self.numbers(),
             context=self.day.name,
-            capacity=AMPLE if beside else fleet.capacity,
+            capacity=UNLIMITED_CAPACITY if separate_processor else fleet.capacity,
             refuse_past=fleet.refuse_past / SECOND,
             names_wait=fleet.names_wait,
             report=fleet.report,
@@ -166,12 +177,12 @@
             busy_lines=fleet.busy_lines,
             warm_up=fleet.warm_up,
             answers_first=fleet.answers_first,
-            releases_wait=fleet.releases_wait and not beside,
+            releases_wait=fleet.releases_wait and not separate_processor,
             drops_cancelled=fleet.drops_cancelled,
         )
 
     async def build(self) -> None:
-        """Everything listens, then the links are made, then the servers start."""
+        """Start the exchanges, then the proxies, then the call servers, and connect stand-ins and callers."""
         fleet = self.day.fleet
         if isinstance(self.loop, VirtualLoop):
             for one in range(fleet.count):
@@ -185,7 +196,7 @@
                 if one != other and (one in self.servers or other in self.servers):
                     self.place(other)
                     proxy = Proxy(self.loop, self.exchanges[other].address, host_of(other), host_of(one))
-                    proxy.refuse = other in self.servers  # until its call server serves
+                    proxy.refuse = other in self.servers  # until its call server is running
                     await proxy.listen()
                     self.proxies[one, other] = proxy
         for number in self.servers:
@@ -203,28 +214,27 @@
             self.place(site.number)
             await site.callers.connect()
         if len(self.sites) > 1:
-            await asyncio.sleep(
-                2.0
-            )  # the servers find one another: they began before there was anybody to dial
+            # The call servers started before the others listened; give them time to connect to each other.
+            await asyncio.sleep(2.0)
 
     async def start_exchange(self, number: int, started: float | None) -> Exchange:
-        alone = number in self.servers
+        lines_only = number in self.servers
         if isinstance(self.loop, VirtualLoop):
             self.hosts[number] = Host(self.loop, f"x{number}")
-        # The lines of a call server are at the address in its settings; others are reached over proxies.
-        before = self.exchanges.get(number) if alone else None
-        host, port = split_address(before.address) if before is not None else (host_of(number), 0)
+        # The lines of a call server keep the address in its settings; other exchanges are behind proxies.
+        previous = self.exchanges.get(number) if lines_only else None
+        host, port = split_address(previous.address) if previous is not None else (host_of(number), 0)
         with self.on(number):
             rng = Random(self.rng.getrandbits(64))
-            exchange = Exchange(self.loop, self.plant(number, alone), rng, started)
+            exchange = Exchange(self.loop, self.plant_settings(number, lines_only), rng, started)
             exchange.host = host
             await exchange.listen(host, port)
         if started is not None:
-            self.starts.append((number, started))
+            self.cold_starts.append((number, started))
         return exchange
 
     async def join(self, number: int) -> None:
-        """A stand-in dials its neighbours: proxies toward call servers, the others directly."""
+        """Connect a stand-in to its neighbours: to call servers over proxies, to other stand-ins directly."""
         neighbours = {}
         for other in self.exchanges:
             if other != number:
@@ -233,7 +243,7 @@
         with self.on(number):
             await self.exchanges[number].join(neighbours)
 
-    def settings(self, number: int, lists: list[RegisterStandin | EurekaSite]) -> ServerSettings:
+    def server_settings(self, number: int, lists: list[RegisterStandin | EurekaSite]) -> ServerSettings:
         fleet, day = self.day.fleet, self.day
         others = [n for n in range(fleet.count) if n != number]
         return ServerSettings(
@@ -258,49 +268,52 @@
             register=next(
                 (Register(address=x.address) for x in lists if isinstance(x, RegisterStandin)), None
             ),
-            registry=next((self.registry(x) for x in lists if isinstance(x, EurekaSite)), None),
+            registry=next((self.registry_settings(x) for x in lists if isinstance(x, EurekaSite)), None),
             list_from="register" if fleet.list_from == "register" else "registry",
-            sizing=self.sizing(number),
-            limits=Limits(first_message=PATIENT if self.measure else 3 * SECOND, drain=2 * SECOND),
+            sizing=self.sizing_settings(number),
+            limits=Limits(first_message=LONG_FIRST_MESSAGE if self.measure else 3 * SECOND, drain=2 * SECOND),
             seed=self.seed * 1009 + number + 7919 * self.lives.get(number, 0),
         )  # fmt: skip
 
     def node(self, number: int) -> str:
-        """The call server's name; one that comes back after its death has another."""
+        """The name of a call server; each restart after a kill gives it a new one."""
         life = self.lives.get(number, 0)
         return f"server-{number}" + (f".{life}" if life else "")
 
-    def sizing(self, number: int) -> Sizing | None:
+    def sizing_settings(self, number: int) -> Sizing | None:
         if self.measure is None:
             return None
         return Sizing(store=str(self.measure / f"{number}.db"), period=MEASURED)
 
-    def registry(self, site: EurekaSite) -> Registry:
+    def registry_settings(self, site: EurekaSite) -> Registry:
         fleet = self.day.fleet
         return Registry(
             addresses=site.addresses, app=APP, poll=fleet.poll, form=fleet.form, hold=fleet.hold,
             dial=SECOND // 2, silence=SECOND, whole=2 * SECOND, full_every=10 * fleet.poll,
         )  # fmt: skip
 
-    def lists(self) -> list[RegisterStandin | EurekaSite]:
-        """What tells the list.  A registry is late by its cache and by half a poll: both together make up the
-        lag of a register, so that the two can be compared."""
-        fleet, found = self.day.fleet, list[RegisterStandin | EurekaSite]()
+    def create_list_sources(self) -> list[RegisterStandin | EurekaSite]:
+        """Create the sources of the exchange list.
+
+        A registry is late by its cache time and by half a poll interval on average.  The cache time is set so
+        that both together equal the lag of a register, which makes results with either source comparable.
+        """
+        fleet, sources = self.day.fleet, list[RegisterStandin | EurekaSite]()
         if fleet.list_from in ("register", "both"):
-            found.append(RegisterStandin(self.loop, fleet.register_lag / SECOND))
+            sources.append(RegisterStandin(self.loop, fleet.register_lag / SECOND))
         if fleet.list_from in ("registry", "both"):
-            cache = (fleet.register_lag - fleet.poll / 2) / SECOND - REPLICATION / 2
-            found.append(EurekaSite(self.loop, max(cache, 0.0), fleet.skew))
-        return found
+            cache_lag = (fleet.register_lag - fleet.poll / 2) / SECOND - REPLICATION / 2
+            sources.append(EurekaSite(self.loop, max(cache_lag, 0.0), fleet.skew))
+        return sources
 
     async def start_site(self, number: int) -> Site:
-        lists = self.lists()
-        for one in lists:
-            await one.listen()
+        lists = self.create_list_sources()
+        for source in lists:
+            await source.listen()
             for other in self.exchanges:
                 if other != number:
                     address = self.proxies[number, other].address
-                    one.preset(Entry(address, other, zone=other % self.day.fleet.districts))
+                    source.preset(Entry(address, other, zone=other % self.day.fleet.districts))
         server = await self.start_server(number, lists)
         callers_part = self.day.callers
         manners = Manners(
@@ -318,19 +331,20 @@
         callers.host = callers_host(number)
         control = self.control.get(number)
         if control is not None and control.processor is not None:
-            # The look at a call waits its turn at the exchange's processor; the caller's time runs from it.
-            callers.look_wait = lambda: self.control[number].backlog() + LOOK_TIME
+            # A call waits in the queue of the exchange's processor before the call server sees it.  The
+            # caller's give-up time starts when it does.
+            callers.look_wait = lambda: self.control[number].backlog() + PROCESSING_MARGIN_S
         return Site(number, lists, server, callers)
 
     async def start_server(
         self, number: int, lists: list[RegisterStandin | EurekaSite], started: float | None = None
     ) -> CallServer | ProcessServer:
-        """The call server of an exchange.  `started`: the time of this start, None for long ago."""
-        settings = self.settings(number, lists)
+        """Start the call server of an exchange.  `started`: loop time of this start, None if it is warm."""
+        settings = self.server_settings(number, lists)
         if self.folder is not None:
-            one = ProcessServer(self.loop, settings, self.folder, self.log)
-            await one.start()
-            return one
+            process = ProcessServer(self.loop, settings, self.folder, self.log)
+            await process.start()
+            return process
         if isinstance(self.loop, VirtualLoop):
             self.control[number] = Host(self.loop, settings.name, self.own_processor(started))
         with self.on(number, control=True):
@@ -341,7 +355,7 @@
         return server
 
     def own_processor(self, started: float | None) -> Processor | None:
-        """That of an exchange whose control is a call server of the product."""
+        """The emulated processor of an exchange with an eiderstep call server; None if the day has none."""
         fleet, cold = self.day.fleet, self.day.rules.cold
         if not fleet.own_work:
             return None
@@ -352,60 +366,75 @@
 
     def classes(self) -> list[Class]:
         return [
-            Class(c.name, c.worth, c.aim / SECOND, c.mean_hold / SECOND, c.late_share)
+            Class(
+                c.name,
+                c.worth,
+                c.aim / SECOND,
+                c.mean_hold / SECOND,
+                c.late_share,
+            )
             for c in self.day.classes
         ]
 
     def hot_number(self, dest: int) -> str:
-        """The one that too many want: beside those that `number_of` draws."""
-        return f"{prefix(dest)}{NUMBERS:04d}"
+        """The number that a `hot_number` trouble directs calls to; `number_of` never returns it."""
+        return f"{number_prefix(dest)}{SUBSCRIBERS:04d}"
 
     def number_of(self, dest: int, rng: Random) -> str:
-        return f"{prefix(dest)}{rng.randrange(NUMBERS):04d}"
+        return f"{number_prefix(dest)}{rng.randrange(SUBSCRIBERS):04d}"
 
-    # -- what came of it -----------------------------------------------------------------------------------
+    # -- results ------------------------------------------------------------------------------------------
 
     def captured(self) -> Capture:
-        """All that passed the call servers' sockets, once they have stopped."""
-        apart = [s.server.captured() for s in self.sites.values() if isinstance(s.server, ProcessServer)]
-        return Capture.merged(apart) if apart else self.capture
+        """The traffic on the call servers' sockets; complete once they have stopped."""
+        captures = [
+            site.server.captured() for site in self.sites.values() if isinstance(site.server, ProcessServer)
+        ]
+        return Capture.merged(captures) if captures else self.capture
 
     def left(self) -> tuple[int, int, dict[str, int]]:
-        """Calls and circuits that the servers still hold, and what they counted."""
+        """The calls and circuits that the servers still hold, and the sums of their counters."""
         calls = circuits = 0
         counts: dict[str, int] = {}
         for site in self.sites.values():
             server = site.server
             if isinstance(server, ProcessServer):
-                mine, busy, counted = server.left["calls"], server.left["circuits"], server.counts
+                server_calls, server_circuits, server_counts = (
+                    server.left["calls"],
+                    server.left["circuits"],
+                    server.counts,
+                )
             else:
-                if server.engine is None:  # killed, and not back
+                if server.engine is None:  # killed and not restarted
                     continue
-                mine, counted = len(server.engine.calls), server.engine.counts
-                busy = server.engine.busy_circuits()
-            calls, circuits = calls + mine, circuits + busy
-            for what, count in counted.items():
-                counts[what] = counts.get(what, 0) + count
+                server_calls, server_counts = len(server.engine.calls), server.engine.counts
+                server_circuits = server.engine.busy_circuits()
+            calls, circuits = calls + server_calls, circuits + server_circuits
+            for name, count in server_counts.items():
+                counts[name] = counts.get(name, 0) + count
         return calls, circuits, counts
 
     def circuits_at_standins(self) -> int:
-        """Circuits toward call servers that the far ends hold busy."""
+        """The number of circuits to call servers that are busy at the stand-ins' end."""
         return sum(
-            len(t.busy) for e in self.exchanges.values() for n, t in e.trunks.items() if n in self.servers
+            len(trunk.busy)
+            for exchange in self.exchanges.values()
+            for neighbour, trunk in exchange.trunks.items()
+            if neighbour in self.servers
         )
 
     def _back(self, number: int) -> None:
         since = self.left_at.pop(number, None)
         if since is not None:
-            offices = frozenset(p.address for pair, p in self.proxies.items() if pair[1] == number)
-            self.away.append(Away(offices, since, int(self.loop.time() * SECOND)))
+            offices = frozenset(proxy.address for pair, proxy in self.proxies.items() if pair[1] == number)
+            self.unavailable.append(UnavailablePeriod(offices, since, int(self.loop.time() * SECOND)))
 
-    def excused(self, node: str, at: float) -> bool:
-        """Whether an answer that was due then (s) fell into a stall of its server."""
+    def fell_into_stall(self, node: str, at: float) -> bool:
+        """Whether the deadline `at` (s) of a response fell into a stall of its server."""
         return any(s.since <= at * SECOND <= s.until and s.node in ("", node) for s in self.stalls)
 
     def facts(self) -> Facts:
-        """What only the day knows; no exchange goes or comes back any more."""
+        """The facts for the audit.  Ends all open periods of unavailability, so call it after the day."""
         rules = self.day.rules
         for number in list(self.left_at):
             self._back(number)
@@ -417,13 +446,13 @@
             cold_multiple=rules.cold.multiple,
             cold_window=rules.cold.window,
             stalls=tuple(self.stalls),
-            away=tuple(self.away),
-            starts=tuple(
+            unavailable=tuple(self.unavailable),
+            cold_starts=tuple(
                 ColdStart(
                     frozenset(p.address for pair, p in self.proxies.items() if pair[1] == number),
                     int(at * SECOND),
                     self.day.fleet.capacity,
                 )
-                for number, at in self.starts
+                for number, at in self.cold_starts
             ),
         )
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -1,4 +1,7 @@
-"""Whole days through the real call server: no rule broken, every call one answer, nothing left busy."""
+"""Complete test days with the real call server.
+
+No rule may be broken, each call gets one final response, and no circuit stays busy.
+"""
 
 from __future__ import annotations
 
@@ -16,48 +19,55 @@
 DAYS = sorted((Path(__file__).resolve().parent.parent / "days").glob("*.star"))
 
 
-def quiet(level: str, event: str, call: str, fields: dict[str, Any]) -> None:
-    """A log that nobody reads."""
+def discard_log(level: str, event: str, call: str, fields: dict[str, Any]) -> None:
+    """A log function that discards its input."""
 
 
 @pytest.mark.parametrize("path", DAYS, ids=[p.stem for p in DAYS])
-def test_a_day_in_virtual_time(path: Path) -> None:
+def test_day_in_virtual_time(path: Path) -> None:
     day = script.load(path)
-    result, _ = lab.play(day, 1, quiet)
+    result, _ = lab.play(day, 1, discard_log)
     assert result.good, result.as_json()
-    vanished = result.verdict.calls - result.verdict.answered
-    owed_nothing = path.stem in ("own_troubles", "strangers")
-    assert vanished == 0 or owed_nothing, "only callers who vanished, or were shown the door"
-    assert result.asks > 300 and not result.circuit_faults and not result.fell
-    # Served worth is no rule; this is far below what is seen, so that only broken routes fall under it.
+    unanswered = result.verdict.calls - result.verdict.answered
+    callers_may_disconnect = path.stem in ("own_troubles", "strangers")
+    assert unanswered == 0 or callers_may_disconnect, (
+        "only calls whose connection was closed, by the caller or by the server, may go unanswered"
+    )
+    assert result.asks > 300 and not result.circuit_faults and not result.collapsed
+    # The served worth is not a rule.  The bound is far below the usual values, so only broken routes miss it.
     assert result.service["whole"] > 0.4
 
 
 @pytest.mark.parametrize("servers", [3, 6])
-def test_the_joined_day_with_several_call_servers(servers: int) -> None:
+def test_bad_day_with_several_call_servers(servers: int) -> None:
     day = script.load(next(p for p in DAYS if p.stem == "bad_day"))
-    result, _ = lab.play(day, 2, quiet, tuple(range(servers)))
+    result, _ = lab.play(day, 2, discard_log, tuple(range(servers)))
     assert result.good, result.as_json()
-    assert result.service["whole"] > 0.6, "exchanges that restart are reached again: 0.55 where they were not"
+    assert result.service["whole"] > 0.6, (
+        "restarted exchanges must be used again; the value is 0.55 if they are not"
+    )
 
 
-def test_one_seed_one_capture() -> None:
+def test_same_seed_gives_same_capture() -> None:
     day = script.load(next(p for p in DAYS if p.stem == "hang"))
-    (one, first), (two, second) = lab.play(day, 3, quiet), lab.play(day, 3, quiet)
-    assert first.records == second.records and one.as_json() == two.as_json()
-    assert lab.play(day, 4, quiet)[1].records != first.records
+    (result, capture), (result_again, capture_again) = (
+        lab.play(day, 3, discard_log),
+        lab.play(day, 3, discard_log),
+    )
+    assert capture.records == capture_again.records and result.as_json() == result_again.as_json()
+    assert lab.play(day, 4, discard_log)[1].records != capture.records
 
 
-SHORT = {
+SHORTER_TIMES = {
     "length = s(40)": "length = s(9)",
     "at = s(8), lasts = s(10)": "at = s(2), lasts = s(4)",
     "at = s(24)": "at = s(6)",
 }
 
 
-def test_a_day_over_sockets_with_servers_in_processes(tmp_path: Path) -> None:
+def test_day_over_sockets_with_servers_in_processes(tmp_path: Path) -> None:
     text = next(p for p in DAYS if p.stem == "hang").read_text()
-    for old, new in SHORT.items():
+    for old, new in SHORTER_TIMES.items():
         assert old in text
         text = text.replace(old, new)
     path = tmp_path / "short.star"
@@ -73,25 +83,27 @@
         "--servers",
         "2",
     ]
-    said = subprocess.run(
+    completed = subprocess.run(
         [*command, "--json", "--keep", str(tmp_path / "kept")], capture_output=True, text=True, check=False
     )
-    result = json.loads(said.stdout)
-    assert said.returncode == 0 and result["good"], said.stdout + said.stderr
+    result = json.loads(completed.stdout)
+    assert completed.returncode == 0 and result["good"], completed.stdout + completed.stderr
     assert result["clock"] == "sockets" and result["calls"] > 100
     kept = {p.name for p in (tmp_path / "kept").iterdir()}
     assert {"result.json", "log.jsonl", "capture.jsonl", "server-0.star", "server-1.capture.jsonl"} <= kept
 
 
-def test_the_command_says_what_is_wrong(tmp_path: Path) -> None:
-    bad = tmp_path / "bad.star"
-    bad.write_text("number = 1\nlisten = 3\n")
+def test_commands_report_invalid_script_in_one_line(tmp_path: Path) -> None:
+    script_file = tmp_path / "bad.star"
+    script_file.write_text("number = 1\nlisten = 3\n")
     for command in ("check", "serve", "day"):
-        said = subprocess.run(
-            [sys.executable, "-m", "eiderstep", command, str(bad)],
+        completed = subprocess.run(
+            [sys.executable, "-m", "eiderstep", command, str(script_file)],
             capture_output=True,
             text=True,
             check=False,
         )
-        assert said.returncode == 2 and said.stderr.startswith(f"eiderstep: {bad}:"), said.stderr
-        assert len(said.stderr.splitlines()) == 1
+        assert completed.returncode == 2 and completed.stderr.startswith(f"eiderstep: {script_file}:"), (
+            completed.stderr
+        )
+        assert len(completed.stderr.splitlines()) == 1
