--- a/eiderstep/lab/__init__.py
+++ b/eiderstep/lab/__init__.py
@@ -1,1 +1,1 @@
-"""Rehearsals: the virtual clock, day scripts, runs, measurements."""
+"""The lab: test days with the real call server on a virtual or real clock, and measurements of them."""
--- a/eiderstep/lab/arrivals.py
+++ b/eiderstep/lab/arrivals.py
@@ -1,7 +1,8 @@
-"""Calls of a known load, seeded: Poisson, peaked, smooth, with a daily profile, of several widths.
+"""Seeded call arrivals of known offered load, and a simulated trunk group to offer them to.
 
-A source yields times of first tries (s) for ever; what becomes of a call is told back to it only where that
-matters: a smooth source has so many callers, and who is in a call makes none.
+Traffic is Poisson, peaked or smooth, with an optional daily profile and several call widths.  A source yields
+the times of first tries (s) without end.  Only a smooth source depends on what becomes of its calls: it has a
+finite number of callers, and a caller in a call makes no other.
 """
 
 from __future__ import annotations
@@ -19,13 +20,13 @@
 
 
 def flat(at: float) -> float:
-    """No profile: the mean rate at all times."""
+    """The constant profile: the mean rate at all times."""
     return 1.0
 
 
 @dataclass(frozen=True)
-class Wave:
-    """A day's wave around 1, `depth` of it up and down, highest at that hour."""
+class DailyWave:
+    """A cosine with a period of one day, between 1 - `depth` and 1 + `depth`, highest at the hour `peak`."""
 
     depth: float
     peak: float
@@ -35,21 +36,22 @@
 
 
 def daily(depth: float = 0.6, peak: float = 11.0) -> Profile:
-    """A day's wave."""
-    return Wave(depth, peak)
+    """A profile with a cosine wave over the day."""
+    return DailyWave(depth, peak)
 
 
-def drift(per_day: float) -> Profile:
-    """A load that grows by so much of itself a day."""
-    return lambda at: 1.0 + per_day * at / DAY
+def linear_growth(growth_per_day: float) -> Profile:
+    """A profile that grows linearly by this share of the initial load per day."""
+    return lambda at: 1.0 + growth_per_day * at / DAY
 
 
 @dataclass(frozen=True)
 class Kind:
-    """One class of calls: erlangs of calls offered, mean holding time (s), width in circuits.
+    """One class of calls.
 
-    `peaked`: index of dispersion of the arrivals, 1 for Poisson.  `callers`: how many there are, of a smooth
-    source, else 0.
+    `load`: offered load in erlangs of calls.  `hold`: mean holding time (s).  `width`: circuits per call.
+    `peaked`: index of dispersion of the arrivals, 1 for Poisson.  `callers`: number of callers of a smooth
+    source, 0 for other sources.
     """
 
     load: float
@@ -60,57 +62,58 @@
 
 
 class Source:
-    """First tries of one kind."""
+    """Generates the times of the first tries of one kind of calls."""
 
-    def __init__(self, kind: Kind, rng: Random, profile: Profile = flat, highest: float = 2.0) -> None:
-        """`highest`: the profile's greatest value, or more."""
-        self.kind, self.rng, self.profile, self.highest = kind, rng, profile, highest
+    def __init__(self, kind: Kind, rng: Random, profile: Profile = flat, profile_max: float = 2.0) -> None:
+        """`profile_max`: an upper bound of the profile."""
+        self.kind, self.rng, self.profile, self.profile_max = kind, rng, profile, profile_max
         self.at = 0.0
-        self.busy = 0  # callers in a call, of a smooth source
-        self.switch = 0.0  # when a burst of a peaked source ends
+        self.busy = 0  # callers in a call; used by a smooth source
+        self.burst_end = 0.0  # end of the current burst; used by a peaked source
         rate = kind.load / kind.hold
         if kind.peaked > 1:
-            # An interrupted Poisson stream, on a third of the time.  Its index of dispersion is
-            # 1 + 2 r g / (g + w)^2 for rates r of calls while on, g of its end, w of its beginning.
-            share = 1 / 3
-            self.burst_rate = rate / share
-            away = (kind.peaked - 1) / (2 * self.burst_rate * (1 - share))  # 1 / (on + off rates)
-            self.on_mean, self.off_mean = away / (1 - share), away / share
+            # An interrupted Poisson process that is on for a third of the time.  Its index of dispersion is
+            # 1 + 2 r g / (g + w)^2, where r is the rate of calls while on, g the rate of leaving the on
+            # state, and w the rate of entering it.
+            on_share = 1 / 3
+            self.burst_rate = rate / on_share
+            time_constant = (kind.peaked - 1) / (2 * self.burst_rate * (1 - on_share))  # 1 / (on + off rates)
+            self.on_mean, self.off_mean = time_constant / (1 - on_share), time_constant / on_share
         self.rate = rate
 
     def next(self) -> float:
-        """The next first try (s); infinite while every caller of a smooth source is in a call."""
+        """The time of the next first try (s); infinite while all callers of a smooth source are in a call."""
         kind, rng = self.kind, self.rng
         if not self.rate:
             return math.inf
         if kind.callers:
-            # Each idle caller calls at such a rate that the load intended is that of n callers.
+            # The rate of each idle caller is set so that all callers together offer the intended load.
             idle = max(kind.callers - self.busy, 0)
-            each = self.rate / (kind.callers - kind.load) if kind.callers > kind.load else self.rate
-            self.at = self.at + rng.expovariate(each * idle) if idle else math.inf
+            caller_rate = self.rate / (kind.callers - kind.load) if kind.callers > kind.load else self.rate
+            self.at = self.at + rng.expovariate(caller_rate * idle) if idle else math.inf
             return self.at
         while True:
             if kind.peaked > 1:
-                self._burst()
+                self._next_in_bursts()
             else:
-                self.at += rng.expovariate(self.rate * self.highest)
-            if rng.random() * self.highest <= self.profile(self.at):
+                self.at += rng.expovariate(self.rate * self.profile_max)
+            if rng.random() * self.profile_max <= self.profile(self.at):
                 return self.at
 
-    def _burst(self) -> None:
+    def _next_in_bursts(self) -> None:
         while True:
-            step = self.rng.expovariate(self.burst_rate * self.highest)
-            if self.at + step <= self.switch:
+            step = self.rng.expovariate(self.burst_rate * self.profile_max)
+            if self.at + step <= self.burst_end:
                 self.at += step
                 return
-            begins = max(self.at, self.switch) + self.rng.expovariate(1 / self.off_mean)
-            self.at = begins
-            self.switch = begins + self.rng.expovariate(1 / self.on_mean)
+            burst_start = max(self.at, self.burst_end) + self.rng.expovariate(1 / self.off_mean)
+            self.at = burst_start
+            self.burst_end = burst_start + self.rng.expovariate(1 / self.on_mean)
 
 
 @dataclass(frozen=True)
 class Redials:
-    """A blocked caller tries again with that probability after that long in the mean (s)."""
+    """A blocked caller redials with probability `share` after a mean wait of `wait` seconds."""
 
     share: float = 0.0
     wait: float = 20.0
@@ -118,7 +121,10 @@
 
 @dataclass(frozen=True)
 class Outage:
-    """From, to (s), and the share of circuits left.  `reaches`: the share of tries that still come."""
+    """A loss of circuits from `since` until `until` (s).
+
+    `share`: the share of circuits left.  `reaches`: the share of first tries that still reach the group.
+    """
 
     since: float
     until: float
@@ -128,7 +134,7 @@
 
 @dataclass
 class Tally:
-    """What a simulated group really did, first tries alone, after the warm-up."""
+    """First tries at a simulated group, and those of them that were blocked, by kind, after the warm-up."""
 
     tries: list[int]
     lost: list[int]
@@ -139,98 +145,102 @@
     redials: Redials | None = None, outages: Sequence[Outage] = (), profile: Profile = flat,
     roll: Callable[[float], None] | None = None, period: float = 60.0, warm: float = 0.0,
 ) -> Tally:  # fmt: skip
-    """A full-availability group of circuits offered these kinds, calls blocked are cleared or redialled.
+    """Simulate a full-availability trunk group; blocked calls are cleared or redialled.
 
-    Knows no formula.  `meter` is told what a call server's would be (`sizing.meter.Meter`); `roll` is called
-    each `period`.
+    The result comes from the simulated events alone, without any formula.  `meter` gets the same method calls
+    as the meter of a call server.  `roll` is called every `period` seconds of simulated time.  First tries
+    before `warm` seconds are left out of the result.
     """
-    told = meter
+    observer = meter
     rng = Random(seed)
     sources = [Source(kind, Random(rng.getrandbits(64)), profile) for kind in kinds]
-    events: list[tuple[float, int, int, int, float]] = []  # time, order, what, kind, value
-    order = 0
-    busy, service = 0, circuits
+    queue: list[tuple[float, int, int, int, float]] = []  # time (s), sequence number, event type, kind, value
+    sequence = 0
+    busy, in_service = 0, circuits
     tally = Tally([0] * len(kinds), [0] * len(kinds))
     redial = redials or Redials()
 
-    def push(at: float, what: int, kind: int, value: float = 0.0) -> None:
-        nonlocal order
-        order += 1
+    def push(at: float, event: int, kind: int, value: float = 0.0) -> None:
+        nonlocal sequence
+        sequence += 1
         if at < math.inf:
-            heapq.heappush(events, (at, order, what, kind, value))
+            heapq.heappush(queue, (at, sequence, event, kind, value))
 
-    drawn = [0.0] * len(kinds)
+    draw_numbers = [0.0] * len(kinds)
 
-    def draw(c: int, at: float) -> None:
-        """The next try of a smooth source, from now on."""
-        drawn[c] += 1
-        sources[c].at = at
-        push(sources[c].next(), TRY, c, drawn[c])
+    def draw(kind_index: int, at: float) -> None:
+        """Schedule the next try of a smooth source, counted from `at`.  Tries scheduled earlier are void."""
+        draw_numbers[kind_index] += 1
+        sources[kind_index].at = at
+        push(sources[kind_index].next(), FIRST_TRY, kind_index, draw_numbers[kind_index])
 
-    for c, source in enumerate(sources):
+    for kind_index, source in enumerate(sources):
         if source.kind.callers:
-            draw(c, 0.0)
+            draw(kind_index, 0.0)
         else:
-            push(source.next(), TRY, c)
+            push(source.next(), FIRST_TRY, kind_index)
     for outage in outages:
-        push(outage.since, SIZE, 0, int(circuits * outage.share))
-        push(outage.until, SIZE, 0, circuits)
+        push(outage.since, RESIZE, 0, int(circuits * outage.share))
+        push(outage.until, RESIZE, 0, circuits)
     if roll is not None:
-        push(period, ROLL, 0)
-    while events:
-        at, _, what, c, value = heapq.heappop(events)
+        push(period, PERIOD_END, 0)
+    while queue:
+        at, _, event, kind_index, value = heapq.heappop(queue)
         if at > seconds:
             break
         now = int(at * 1e9)
-        if what in (TRY, AGAIN):
-            kind = kinds[c]
-            if what == TRY:
-                if kind.callers and value != drawn[c]:
-                    continue  # drawn anew since
+        if event in (FIRST_TRY, REDIAL):
+            kind = kinds[kind_index]
+            if event == FIRST_TRY:
+                if kind.callers and value != draw_numbers[kind_index]:
+                    continue  # superseded by a later draw
                 if not kind.callers:
-                    push(sources[c].next(), TRY, c)
-                if any(o.since <= at < o.until and rng.random() >= o.reaches for o in outages):
+                    push(sources[kind_index].next(), FIRST_TRY, kind_index)
+                if any(
+                    outage.since <= at < outage.until and rng.random() >= outage.reaches for outage in outages
+                ):
                     if kind.callers:
-                        draw(c, at)
+                        draw(kind_index, at)
                     continue
                 if at >= warm:
-                    tally.tries[c] += 1
-            blocked = busy + kind.width > service
-            if told is not None:
-                told.tried(now, 1, c, "", what == AGAIN)
+                    tally.tries[kind_index] += 1
+            blocked = busy + kind.width > in_service
+            if observer is not None:
+                observer.tried(now, 1, kind_index, "", event == REDIAL)
             if blocked:
-                if what == TRY and at >= warm:
-                    tally.lost[c] += 1
-                if told is not None:
-                    told.blocked(1, c, what == AGAIN, False)
+                if event == FIRST_TRY and at >= warm:
+                    tally.lost[kind_index] += 1
+                if observer is not None:
+                    observer.blocked(1, kind_index, event == REDIAL, False)
                 if rng.random() < redial.share:
-                    push(at + rng.expovariate(1 / redial.wait), AGAIN, c)
+                    push(at + rng.expovariate(1 / redial.wait), REDIAL, kind_index)
             else:
                 busy += kind.width
                 hold = rng.expovariate(1 / kind.hold)
-                push(at + hold, END, c, hold)
-                if told is not None:
-                    told.level(now, 1, busy, service)
-                    told.stands(now, 1, c)
-                sources[c].busy += 1
-            if kind.callers and what == TRY:
-                draw(c, at)
-        elif what == END:
-            busy -= kinds[c].width
-            sources[c].busy -= 1
-            if kinds[c].callers:  # one more who may call: drawn anew, as chance without memory may be
-                draw(c, at)
-            if told is not None:
-                told.level(now, 1, busy, service)
-                told.ended(now, 1, c, int(value * 1e9))
-        elif what == SIZE:
-            service = int(value)
-            if told is not None:
-                told.level(now, 1, busy, service)
+                push(at + hold, CALL_END, kind_index, hold)
+                if observer is not None:
+                    observer.level(now, 1, busy, in_service)
+                    observer.stands(now, 1, kind_index)
+                sources[kind_index].busy += 1
+            if kind.callers and event == FIRST_TRY:
+                draw(kind_index, at)
+        elif event == CALL_END:
+            busy -= kinds[kind_index].width
+            sources[kind_index].busy -= 1
+            # One more caller is idle.  Exponential waits have no memory, so the next try may be drawn again.
+            if kinds[kind_index].callers:
+                draw(kind_index, at)
+            if observer is not None:
+                observer.level(now, 1, busy, in_service)
+                observer.ended(now, 1, kind_index, int(value * 1e9))
+        elif event == RESIZE:
+            in_service = int(value)
+            if observer is not None:
+                observer.level(now, 1, busy, in_service)
         elif roll is not None:
             roll(at)
-            push(at + period, ROLL, 0)
+            push(at + period, PERIOD_END, 0)
     return tally
 
 
-TRY, AGAIN, END, SIZE, ROLL = range(5)
+FIRST_TRY, REDIAL, CALL_END, RESIZE, PERIOD_END = range(5)
--- a/eiderstep/lab/clock.py
+++ b/eiderstep/lab/clock.py
@@ -1,9 +1,9 @@
-"""A virtual-time event loop with in-memory transports: the same server classes, no sockets, no waiting.
+"""An event loop in virtual time with in-memory transports, for running the server classes without sockets.
 
-Time jumps to the next timer as soon as nothing is ready, so that a simulated minute costs only the work done
-in it.  Timers of one moment run in the order in which they were set, so with one seed two runs are alike to
-the byte.  In the manner of Twisted's trial clock and FoundationDB's simulation.  Connections are in
-memory.py; what runs on a host that is paused or busy waits there (emulator/hosts.py).
+When no callback is ready, time jumps to the next timer, so a simulated minute costs only the work done in it.
+Timers with the same time run in the order in which they were set, so two runs with one seed give the same
+bytes.  The approach is that of Twisted's trial clock and FoundationDB's simulation.  memory.py has the
+connections.  Callbacks of a paused or busy host are queued by that host (emulator/hosts.py).
 """
 
 from __future__ import annotations
@@ -18,25 +18,25 @@
 from eiderstep.lab.emulator.hosts import HERE
 from eiderstep.lab.memory import MemoryDatagrams, MemoryServer, MemoryTransport, Network
 
-START = 1000.0  # seconds; a clock that begins at nought hides bugs with unset times
-FIRST_PORT, PORTS = 20000, 40000  # of one loopback address
-SWEPT = 500  # cancelled timers from which they are swept out, once they are half of all
+START_S = 1000.0  # start of the clock; a start at 0 would hide errors with times that were never set
+FIRST_PORT, PORTS = 20000, 40000  # port range of one loopback address
+MIN_CANCELLED_TO_SWEEP = 500  # cancelled timers are removed above this count, if they are over half of all
 
 
 class Deadlock(RuntimeError):
-    """Nothing is ready and no timer is set, but the run is not over."""
+    """The run is not finished, but no callback is ready and no timer is set."""
 
 
 class Endless(RuntimeError):
-    """The run took more callbacks than it was allowed."""
+    """The run exceeded its limit of callbacks."""
 
 
 class VirtualLoop(asyncio.BaseEventLoop):
-    """An asyncio loop whose time is `time()` and nobody else's.
+    """An asyncio event loop with its own virtual clock.
 
-    `allowed`: callbacks after which a run that does not end raises `Endless`; counted and not timed, so
-    that a run ends at the same point on any machine.  The loop's own turn is written anew here: the one of
-    `BaseEventLoop` keeps timers of one moment in no certain order and asks a selector for files.
+    `allowed`: limit of callbacks, 0 for none; a run that exceeds it raises `Endless`.  Callbacks are counted,
+    instead of time, so that a run ends at the same point on any machine.  `_run_once` replaces that of
+    `BaseEventLoop`, which does not define the order of timers with the same time and polls a selector.
     """
 
     _ready: deque[asyncio.Handle]
@@ -45,20 +45,20 @@
         super().__init__()
         self.network = network or Network()
         self.allowed, self.ran = allowed, 0
-        self.now = START
+        self.now = START_S
         self.timers: list[tuple[float, int, asyncio.TimerHandle]] = []
-        self.set_timers = self.cancelled_timers = 0
+        self.timers_set = self.cancelled_timers = 0
         self.listeners: dict[str, MemoryServer] = {}
         self.datagrams: dict[str, MemoryDatagrams] = {}
         self.transports: dict[MemoryTransport, None] = {}
         self.lose_datagram: Callable[[str, bytes], bool] | None = None
         self.place = "lab"
-        self._made = 0  # addresses given out
-        self.set_exception_handler(self._note_error)
+        self._addresses_issued = 0
+        self.set_exception_handler(self._record_error)
         self.errors: list[str] = []
 
-    def _note_error(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-        """A callback failed: the run goes on, as it would on a real loop, and its result says so."""
+    def _record_error(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
+        """Record the failure of a callback for the result.  As on a real loop, the run continues."""
         self.errors.append(f"{context.get('message')}: {context.get('exception')!r}")
 
     # -- time ----------------------------------------------------------------------------------------------
@@ -71,26 +71,26 @@
     ) -> asyncio.TimerHandle:
         handle = asyncio.TimerHandle(when, callback, args, self, context)
         handle._scheduled = True  # type: ignore[attr-defined]
-        self.set_timers += 1
-        heapq.heappush(self.timers, (when, self.set_timers, handle))
+        self.timers_set += 1
+        heapq.heappush(self.timers, (when, self.timers_set, handle))
         return handle
 
     def _timer_handle_cancelled(self, handle: asyncio.TimerHandle) -> None:
         self.cancelled_timers += 1
-        if self.cancelled_timers > SWEPT and self.cancelled_timers * 2 > len(self.timers):
+        if self.cancelled_timers > MIN_CANCELLED_TO_SWEEP and self.cancelled_timers * 2 > len(self.timers):
             self.timers = [timer for timer in self.timers if not timer[2].cancelled()]
             heapq.heapify(self.timers)
             self.cancelled_timers = 0
 
     def _run_once(self) -> None:
-        """One turn: what is due becomes ready, and all that is ready runs, on hosts that run."""
+        """Move due timers to the ready queue, then run all ready callbacks whose host is running."""
         ready, timers = self._ready, self.timers
         while timers and timers[0][2].cancelled():
             heapq.heappop(timers)
             self.cancelled_timers -= 1
         if not ready:
             if not timers:
-                raise Deadlock("nothing is ready and no timer is set")
+                raise Deadlock("no callback is ready and no timer is set")
             self.now = max(self.now, timers[0][0])
         now = self.now
         while timers and timers[0][0] <= now:
@@ -103,14 +103,14 @@
         count = len(ready)
         self.ran += count
         if self.allowed and self.ran > self.allowed:
-            self.allowed = 0  # what is cancelled at the end may still run
-            raise Endless(f"over {self.ran} callbacks at {self.now:.3f} s")
+            self.allowed = 0  # tasks that are cancelled at the end may still run
+            raise Endless(f"limit of callbacks exceeded: {self.ran} run by {self.now:.3f} s")
         for _ in range(count):
-            one = ready.popleft()
-            if not one._cancelled:
-                host = one._context.get(HERE)  # type: ignore[attr-defined]
-                if host is None or not host.holds(one):
-                    one._run()
+            ready_handle = ready.popleft()
+            if not ready_handle._cancelled:
+                host = ready_handle._context.get(HERE)  # type: ignore[attr-defined]
+                if host is None or not host.holds(ready_handle):
+                    ready_handle._run()
 
     def close(self) -> None:
         self.timers.clear()
@@ -119,25 +119,28 @@
     # -- places and sockets --------------------------------------------------------------------------------
 
     def at(self, place: str) -> VirtualLoop:
-        """Say from which place the sockets made next are: `loop.at("nottingham")`."""
+        """Set the place in the network of the sockets created next: `loop.at("nottingham")`."""
         self.place = place
         return self
 
     def free_address(self, host: str = "") -> str:
-        """One that nobody had yet; past the ports of one loopback address there is the next, but where the
-        host is given: there ports go on beyond what TCP has."""
-        self._made += 1
+        """An unused address.
+
+        When the ports of one loopback address are used up, the next loopback address is taken.  If `host` is
+        given, port numbers go on beyond the range of TCP instead.
+        """
+        self._addresses_issued += 1
         if host and host != "127.0.0.1":
-            return f"{host}:{FIRST_PORT + self._made}"
-        return f"127.0.{self._made // PORTS}.1:{FIRST_PORT + self._made % PORTS}"
+            return f"{host}:{FIRST_PORT + self._addresses_issued}"
+        return f"127.0.{self._addresses_issued // PORTS}.1:{FIRST_PORT + self._addresses_issued % PORTS}"
 
-    def _bind(self, host: str, port: int) -> str:
+    def _bind_address(self, host: str, port: int) -> str:
         return self.free_address(host) if not port else f"{host}:{port}"
 
     async def create_server(  # type: ignore[override]
         self, factory: Callable[[], Any], host: str = "127.0.0.1", port: int = 0, **_: Any
     ) -> MemoryServer:
-        address = self._bind(host, port)
+        address = self._bind_address(host, port)
         if address in self.listeners:
             raise OSError(f"{address} is in use")
         server = self.listeners[address] = MemoryServer(self, address, self.place, factory)
@@ -149,29 +152,29 @@
     ) -> tuple[MemoryTransport, Any]:  # fmt: skip
         place, address = self.place, f"{host}:{port}"
         server = self.listeners.get(address)
-        away = self.network.delay(place, server.place if server else place)
-        await asyncio.sleep(2 * away)
+        one_way_delay = self.network.delay(place, server.place if server else place)
+        await asyncio.sleep(2 * one_way_delay)
         server = self.listeners.get(address)
         if server is None:
-            raise ConnectionRefusedError(f"nobody listens at {address}")
-        mine, theirs = factory(), server.context.run(server.factory)
-        here = self.free_address(local_addr[0] if local_addr else "")
-        near = MemoryTransport(self, mine, place, here, address)
-        far = server.context.run(MemoryTransport, self, theirs, server.place, address, here)
+            raise ConnectionRefusedError(f"no listener at {address}")
+        near_protocol, far_protocol = factory(), server.context.run(server.factory)
+        near_address = self.free_address(local_addr[0] if local_addr else "")
+        near = MemoryTransport(self, near_protocol, place, near_address, address)
+        far = server.context.run(MemoryTransport, self, far_protocol, server.place, address, near_address)
         near.other, far.other = far, near
         self.transports[near] = self.transports[far] = None
-        # The far end's system takes the connection, whether or not the process there runs just now.
+        # The operating system of the far end accepts the connection even if the process there is paused.
         if far.host is not None and far.host.until > self.now:
-            self.call_soon(theirs.connection_made, far, context=far.context)
+            self.call_soon(far_protocol.connection_made, far, context=far.context)
         else:
-            far.context.run(theirs.connection_made, far)
-        mine.connection_made(near)
-        return near, mine
+            far.context.run(far_protocol.connection_made, far)
+        near_protocol.connection_made(near)
+        return near, near_protocol
 
     async def create_datagram_endpoint(  # type: ignore[override]
         self, factory: Callable[[], Any], local_addr: tuple[str, int] | None = None, **_: Any
     ) -> tuple[MemoryDatagrams, Any]:
-        address = self._bind(*(local_addr or ("127.0.0.1", 0)))
+        address = self._bind_address(*(local_addr or ("127.0.0.1", 0)))
         protocol = factory()
         transport = MemoryDatagrams(self, protocol, self.place, address)
         self.datagrams[address] = transport
--- a/eiderstep/lab/process.py
+++ b/eiderstep/lab/process.py
@@ -1,4 +1,4 @@
-"""A call server in a process of its own, with the face that `lab.world` knows a server by."""
+"""Call servers and strangers in separate processes, with the interface that `lab.world` expects of them."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 from eiderstep.config.schema import ServerSettings
 from eiderstep.standin.stranger import Victim, told
 
-START_TIME = 20.0  # seconds for a process to say where it serves
+START_TIMEOUT_S = 20.0  # for a process to log the address that it listens on
 
 
 class ProcessServer:
-    """`eiderstep serve` as a child.  What it says of itself is read from its log."""
+    """Runs `eiderstep serve` as a child process and reads its state from its log."""
 
     engine: Any = None
 
@@ -32,7 +32,7 @@
         self.child: asyncio.subprocess.Process | None = None
         self.stopped = loop.create_future()
         self.serving = loop.create_future()
-        self.left = {"calls": -1, "circuits": -1}  # -1: it never said
+        self.remaining = {"calls": -1, "circuits": -1}  # -1: not reported
         self.counts: dict[str, int] = {}
         self.capture_file = folder / f"{settings.name}.capture.jsonl"
 
@@ -43,52 +43,54 @@
             sys.executable, "-m", "eiderstep", "serve", str(script), "--capture", str(self.capture_file),
             stdout=asyncio.subprocess.PIPE, limit=1 << 20,
         )  # fmt: skip
-        self.reader = self.loop.create_task(self._read())
-        self.address = await asyncio.wait_for(self.serving, START_TIME)
+        self.log_reader = self.loop.create_task(self._read_log())
+        self.address = await asyncio.wait_for(self.serving, START_TIMEOUT_S)
 
-    async def _read(self) -> None:
+    async def _read_log(self) -> None:
         assert self.child is not None and self.child.stdout is not None
         async for line in self.child.stdout:
             try:
-                said = json.loads(line)
+                entry = json.loads(line)
             except ValueError:
-                said = {"event": line.decode("utf-8", "replace").strip()}
-            event = said.pop("event", "")
+                entry = {"event": line.decode("utf-8", "replace").strip()}
+            event = entry.pop("event", "")
             if event == "serving":
-                self.serving.set_result(said["address"])
+                self.serving.set_result(entry["address"])
             elif event == "stopping":
-                self.left = {"calls": said["calls"], "circuits": said["circuits"]}
+                self.remaining = {"calls": entry["calls"], "circuits": entry["circuits"]}
             elif event == "stopped":
-                self.counts = said.get("counts", {})
+                self.counts = entry.get("counts", {})
             self.log(
-                said.pop("level", "info"), event, said.pop("call", ""), said | {"node": self.settings.name}
+                entry.pop("level", "info"), event, entry.pop("call", ""), entry | {"node": self.settings.name}
             )
         await self.child.wait()
         if not self.serving.done():
             self.serving.set_exception(
-                RuntimeError(f"{self.settings.name} ended with {self.child.returncode}")
+                RuntimeError(
+                    f"{self.settings.name} exited with status {self.child.returncode} before it was serving"
+                )
             )
         if not self.stopped.done():
             self.stopped.set_result(None)
 
     def stop(self) -> None:
-        """SIGTERM."""
+        """Send SIGTERM."""
         if self.child is not None and self.child.returncode is None:
             self.child.send_signal(signal.SIGTERM)
 
     def pause(self, seconds: float) -> None:
-        """The process stalls: SIGSTOP, then SIGCONT."""
+        """Stall the process: send SIGSTOP, and SIGCONT after `seconds`."""
         if self.child is not None and self.child.returncode is None:
             self.child.send_signal(signal.SIGSTOP)
             self.loop.call_later(seconds, self.child.send_signal, signal.SIGCONT)
 
     def captured(self) -> Capture:
-        """What passed its sockets; complete once it has stopped."""
+        """The traffic on its sockets; complete once the process has stopped."""
         return Capture.read(self.capture_file)
 
 
 class StrangerProcess:
-    """Attackers in a process of their own, so that what they cost the lab delays no exchange in it."""
+    """Runs strangers in a separate process, so that their load does not delay the exchanges of the lab."""
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, server: str, hosts: dict[str, list[str]],
@@ -100,21 +102,21 @@
         self.process: asyncio.subprocess.Process | None = None
 
     async def run(self, seconds: float) -> None:
-        """Attack for so long; what the attackers know of calls is told them twice a second."""
+        """Attack for `seconds`; the process gets the current standing calls twice per second."""
         pipe = asyncio.subprocess.PIPE
-        words = [self.server, json.dumps(self.hosts), str(self.rate), str(seconds)]
-        words.append(str(self.rng.randrange(2**31)))
-        command = [sys.executable, "-m", "eiderstep.standin.stranger", *words]
-        self.process = one = await asyncio.create_subprocess_exec(*command, stdin=pipe, stdout=pipe)
-        assert one.stdin is not None and one.stdout is not None
-        ends = self.loop.time() + seconds + 1
-        while self.loop.time() < ends and one.returncode is None:
-            one.stdin.write(told(self.victims()).encode())
+        arguments = [self.server, json.dumps(self.hosts), str(self.rate), str(seconds)]
+        arguments.append(str(self.rng.randrange(2**31)))
+        command = [sys.executable, "-m", "eiderstep.standin.stranger", *arguments]
+        self.process = process = await asyncio.create_subprocess_exec(*command, stdin=pipe, stdout=pipe)
+        assert process.stdin is not None and process.stdout is not None
+        end = self.loop.time() + seconds + 1
+        while self.loop.time() < end and process.returncode is None:
+            process.stdin.write(told(self.victims()).encode())
             await asyncio.sleep(0.5)
-        one.stdin.close()
-        line = await one.stdout.readline()
+        process.stdin.close()
+        line = await process.stdout.readline()
         self.sent = json.loads(line)["sent"] if line else {}
-        await one.wait()
+        await process.wait()
 
     def close(self) -> None:
         if self.process is not None and self.process.returncode is None:
--- a/eiderstep/lab/registry.py
+++ b/eiderstep/lab/registry.py
@@ -1,6 +1,7 @@
-"""A day's exchanges in a Eureka registry: two peers, leases kept by the living, lies by the script.
+"""Keeps the exchanges of a test day registered in a stand-in Eureka registry of two peers.
 
-Stands where `standin.register.Register` stands, so that a world tells the one or the other of a change.
+Exchanges that are alive renew their leases; day scripts can make the peers give wrong answers.  `EurekaSite`
+has the same interface as `standin.register.Register`, so a world can report changes to either.
 """
 
 from __future__ import annotations
@@ -13,33 +14,33 @@
 from eiderstep.standin.register import Entry
 
 APP = "EXCHANGES"
-EPOCH = 1_764_547_200_000  # ms: what the registry's clock shows when the loop's shows nought
-RENEW, DURATION = 2, 6  # seconds
-REPLICATION = 0.05
-LONG_AGO = 3600.0
+EPOCH = 1_764_547_200_000  # ms; the registry's clock at loop time 0
+RENEWAL_INTERVAL_S, LEASE_DURATION_S = 2, 6
+REPLICATION_DELAY_S = 0.05
+WARM_AGE_S = 3600.0  # least age of an exchange whose start time is not known
 
 
 @dataclass
-class Living:
-    """One exchange as it registers itself."""
+class Registration:
+    """The registration of one exchange.  `renews`: the exchange is alive and renews its lease."""
 
     entry: Entry
     id: str
-    lives: int = 0
+    restarts: int = 0
     renews: bool = True
 
 
 class EurekaSite:
-    """The registry that one call server follows."""
+    """The registry that one call server polls."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, lag: float, skew: float = 0.0) -> None:
-        """`lag`: how late a change is shown.  `skew`: how far the exchanges' clocks are ahead (s)."""
+        """`lag`: delay until a change is visible (s).  `skew`: the lead of the exchanges' clocks (s)."""
         self.loop, self.skew = loop, skew
-        self.tables = [Table(loop, self.epoch, lag, REPLICATION) for _ in range(2)]
+        self.tables = [Table(loop, self.epoch, lag, REPLICATION_DELAY_S) for _ in range(2)]
         for table in self.tables:
             table.peers = [other for other in self.tables if other is not table]
         self.peers = [Eureka(loop, table) for table in self.tables]
-        self.living: dict[str, Living] = {}
+        self.registrations: dict[str, Registration] = {}
         self.closed = False
 
     def epoch(self) -> int:
@@ -66,48 +67,54 @@
     # -- the exchanges -------------------------------------------------------------------------------------
 
     def preset(self, entry: Entry) -> None:
-        """One that has long been registered."""
+        """Register an exchange as one that has been running for a long time."""
         lag, self.lag = self.lag, 0.0
-        living = self.living[entry.office] = Living(entry, f"x{entry.number}:{entry.office}")
+        registration = self.registrations[entry.office] = Registration(
+            entry, f"x{entry.number}:{entry.office}"
+        )
         for table in self.tables:
-            table.register(self._record(living), replicated=True)
+            table.register(self._record(registration), replicated=True)
         self.lag = lag
 
     def change(self, entry: Entry) -> None:
-        """What an exchange does: register, say that it goes, cancel."""
-        living = self.living.get(entry.office)
-        if living is None:
-            living = self.living[entry.office] = Living(entry, f"x{entry.number}:{entry.office}")
+        """Report a change of an exchange's state: it registers, changes its status, or cancels."""
+        registration = self.registrations.get(entry.office)
+        if registration is None:
+            registration = self.registrations[entry.office] = Registration(
+                entry, f"x{entry.number}:{entry.office}"
+            )
         if entry.state == "gone":
-            living.renews = False
-            self._of(living).cancel(APP, living.id)
+            registration.renews = False
+            self._primary_table(registration).cancel(APP, registration.id)
             return
-        if entry.state == "up" and not living.renews:
-            living.lives += 1
-            if living.lives % 2:  # every other restart under a new id, with the old number and address
-                living.id = f"x{entry.number}.{living.lives}:{entry.office}"
-        if entry.state != "up":  # it still is what it was; who tells of it need not know since when
-            entry = replace(entry, started=living.entry.started)
-        living.entry, living.renews = entry, True
-        self._register(living)
+        if entry.state == "up" and not registration.renews:
+            registration.restarts += 1
+            if (
+                registration.restarts % 2
+            ):  # every other restart has a new id, with the same number and address
+                registration.id = f"x{entry.number}.{registration.restarts}:{entry.office}"
+        if entry.state != "up":  # it is the same process; the caller need not know its start time
+            entry = replace(entry, started=registration.entry.started)
+        registration.entry, registration.renews = entry, True
+        self._send_registration(registration)
 
     def died(self, number: int) -> None:
-        """Without a word: its lease runs out."""
-        for living in self.living.values():
-            if living.entry.number == number:
-                living.renews = False
+        """An exchange died without cancelling its registration: its lease expires."""
+        for registration in self.registrations.values():
+            if registration.entry.number == number:
+                registration.renews = False
 
-    def _of(self, living: Living) -> Table:
-        return self.tables[living.entry.number % len(self.tables)]
+    def _primary_table(self, registration: Registration) -> Table:
+        return self.tables[registration.entry.number % len(self.tables)]
 
-    def _register(self, living: Living) -> None:
-        self._of(living).register(self._record(living))
+    def _send_registration(self, registration: Registration) -> None:
+        self._primary_table(registration).register(self._record(registration))
 
-    def _record(self, living: Living) -> Record:
-        entry = living.entry
-        started = self.loop.time() - LONG_AGO if entry.started is None else entry.started
+    def _record(self, registration: Registration) -> Record:
+        entry = registration.entry
+        started = self.loop.time() - WARM_AGE_S if entry.started is None else entry.started
         if entry.started is None:
-            started -= self.loop.time() % LONG_AGO  # the same at each call
+            started -= self.loop.time() % WARM_AGE_S  # gives the same start time at each call
         host, _, port = entry.office.rpartition(":")
         metadata = {
             "exchange": str(entry.number), "district": str(entry.zone),
@@ -115,24 +122,28 @@
         }  # fmt: skip
         status = "UP" if entry.state == "up" else "DOWN"
         return Record(
-            APP, living.id, host, int(port), metadata, status,
-            dirty=self.epoch() + int(self.skew * 1000), renew=RENEW, duration=DURATION,
+            APP, registration.id, host, int(port), metadata, status,
+            dirty=self.epoch() + int(self.skew * 1000), renew=RENEWAL_INTERVAL_S, duration=LEASE_DURATION_S,
         )  # fmt: skip
 
     def _beat(self) -> None:
-        """Renewals; who is not known any more registers again."""
+        """Renew all leases.  An exchange that the registry no longer knows registers again."""
         if self.closed:
             return
-        for living in self.living.values():
-            if living.renews and not self._of(living).renew(APP, living.id):
-                self._register(living)
-        self.loop.call_later(RENEW, self._beat)
+        for registration in self.registrations.values():
+            if registration.renews and not self._primary_table(registration).renew(APP, registration.id):
+                self._send_registration(registration)
+        self.loop.call_later(RENEWAL_INTERVAL_S, self._beat)
 
-    # -- what a script does to it --------------------------------------------------------------------------
+    # -- troubles of a day script --------------------------------------------------------------------------
 
     def lie(self, lie: str, victims: list[int], peers: list[int]) -> None:
-        """Begin a lie at some of the peers, or end it with an empty one."""
-        ids = frozenset(v.id for v in self.living.values() if v.entry.number in victims)
+        """Make some of the peers (all if `peers` is empty) give the wrong answers `lie`; "" ends this."""
+        ids = frozenset(
+            registration.id
+            for registration in self.registrations.values()
+            if registration.entry.number in victims
+        )
         for number in peers or range(len(self.peers)):
             self.peers[number].tell_lies(lie, ids)
 
--- a/eiderstep/lab/traces.py
+++ b/eiderstep/lab/traces.py
@@ -1,9 +1,9 @@
-"""A call's path through call servers, from captures: as a ladder for people, as spans for tracing tools.
+"""The path of a call through call servers, from captures, as a ladder diagram or as OpenTelemetry spans.
 
-A call is known by its Session-ID, which call servers hand on, so that captures of several servers join into
-one path.  Spans are those of OpenTelemetry: one of the caller's try at each server, under it one of each
-set-up from there; a set-up to another captured server is the parent of that server's span.  Times are the
-captures'.
+A call is identified by its Session-ID, which call servers forward, so that captures of several servers can be
+joined into one path.  Each server has a span for the incoming call, with a child span for each set-up that it
+sends.  A set-up to another captured server is the parent of that server's span.  Times are those of the
+captures.
 """
 
 from __future__ import annotations
@@ -25,22 +25,22 @@
 from eiderstep.sip.parser import BadMessage, Parser, parse_datagram
 
 MS = 1_000_000
-LANE = 18  # columns of a lane
+LANE_WIDTH = 18  # columns
 
 
 @dataclass(frozen=True)
 class Step:
-    """One message of a call: when (ns), at which server, the other end, which way, and what it was."""
+    """One message of a call: time (ns), server, remote end, and whether the server sent it."""
 
     time: int
     node: str
-    far: str
-    out: bool
+    remote: str
+    outgoing: bool
     message: Message
 
     @property
-    def what(self) -> str:
-        """The first line in short, with the cause where there is one."""
+    def summary(self) -> str:
+        """The method or status, with the cause and the wait of a 503 if present."""
         m = self.message
         text = m.method if m.method else f"{m.status} {m.cseq_method}"
         protocol, cause = fields.read_reason(m)
@@ -51,32 +51,34 @@
 
 
 @dataclass
-class Path_:
-    """One call: its session, the number called, and all its messages in order."""
+class CallPath:
+    """One call: its Session-ID, the called number, and all its messages in order."""
 
     session: str
     number: str = ""
     steps: list[Step] = field(default_factory=list)
 
 
-def paths(capture: Capture) -> dict[str, Path_]:
-    """All calls of a capture, by Session-ID, in the order in which they came."""
+def paths(capture: Capture) -> dict[str, CallPath]:
+    """All calls of a capture by Session-ID, in order of their first message."""
     parsers: dict[tuple[str, str, str], Parser] = {}
-    found: dict[str, Path_] = {}
-    of: dict[tuple[str, str], tuple[str, str]] = {}  # node, Call-ID: session, far end
+    found: dict[str, CallPath] = {}
+    dialogs: dict[tuple[str, str], tuple[str, str]] = {}  # node, Call-ID: session, remote end
     for record in capture:
         if record.way not in ("in", "out") or record.label.startswith("regist"):
             continue
         for message in _messages(parsers, record):
             key = (record.node, message.call_id)
-            if message.method == "INVITE" and key not in of:
+            if message.method == "INVITE" and key not in dialogs:
                 session = message.get("session-id").partition(";")[0] or message.call_id
-                of[key] = (session, far_end(record, message))
+                dialogs[key] = (session, remote_end(record, message))
                 if session not in found:
-                    found[session] = Path_(session, uri_parts(message.uri)[0].partition(";")[0])
-            if key in of:
-                session, far = of[key]
-                found[session].steps.append(Step(record.time, record.node, far, record.way == "out", message))
+                    found[session] = CallPath(session, uri_parts(message.uri)[0].partition(";")[0])
+            if key in dialogs:
+                session, remote = dialogs[key]
+                found[session].steps.append(
+                    Step(record.time, record.node, remote, record.way == "out", message)
+                )
     return found
 
 
@@ -89,8 +91,8 @@
     return [m for m in parser.feed(data) if not isinstance(m, BadMessage)]
 
 
-def far_end(record: Record, message: Message) -> str:
-    """Who is at the other end of a set-up: an exchange by its trunk group, a caller, or the own lines."""
+def remote_end(record: Record, message: Message) -> str:
+    """The remote end of an INVITE: an exchange (by the trunk group), a caller, or the server's own lines."""
     group, _ = fields.read_trunk(message)
     own = record.node.removeprefix("server-").partition(".")[0]
     if group:
@@ -99,76 +101,80 @@
     return "caller" if record.way == "in" else f"lines {own}"
 
 
-def chosen(found: dict[str, Path_], wanted: str) -> Path_:
-    """One call, by the beginning of its Session-ID, by a Call-ID, or by the number called (its first call).
+def chosen(found: dict[str, CallPath], wanted: str) -> CallPath:
+    """Find one call by its Session-ID or a prefix of it, by a Call-ID, or by the called number (first call).
 
-    Raises ValueError for none, and for a beginning that several share.
+    Raises ValueError if there is no such call, or if several share a prefix of at least 4 characters.
     """
     if wanted in found:
         return found[wanted]
-    begun = [p for s, p in found.items() if s.startswith(wanted)]
-    if len(begun) == 1:
-        return begun[0]
-    if len(begun) > 1 and len(wanted) >= 4:
+    matches = [p for s, p in found.items() if s.startswith(wanted)]
+    if len(matches) == 1:
+        return matches[0]
+    if len(matches) > 1 and len(wanted) >= 4:
         raise ValueError(
-            f"found {len(begun)} calls that begin with {wanted!r}; allowed: more of its Session-ID"
+            f"found {len(matches)} calls whose Session-ID begins with {wanted!r}; allowed: a longer prefix"
         )
     for path in found.values():
         if path.number == wanted or any(s.message.call_id == wanted for s in path.steps):
             return path
     raise ValueError(
-        f"no call {wanted!r} among {len(found)}; allowed: a Session-ID or its beginning, a Call-ID, a number"
+        f"no call {wanted!r} among {len(found)}; allowed: a Session-ID or a prefix of it, a Call-ID, a number"
     )
 
 
-def lanes(path: Path_) -> list[str]:
-    """Who takes part, from left to right, in the order in which they appear."""
+def lanes(path: CallPath) -> list[str]:
+    """The participants of a call, from left to right, in order of appearance."""
     order: list[str] = []
     nodes = {s.node for s in path.steps}
     for step in path.steps:
-        ends = [step.node, lane(step.far, nodes)] if step.out else [lane(step.far, nodes), step.node]
+        ends = (
+            [step.node, lane_of(step.remote, nodes)]
+            if step.outgoing
+            else [lane_of(step.remote, nodes), step.node]
+        )
         order += [e for e in ends if e not in order]
     return order
 
 
-def lane(far: str, nodes: set[str]) -> str:
-    """An exchange that has a captured call server is that server."""
-    number = far.removeprefix("exchange ")
+def lane_of(remote: str, nodes: set[str]) -> str:
+    """The lane of a remote end: for an exchange with a captured call server, the lane of that server."""
+    number = remote.removeprefix("exchange ")
     servers = sorted(n for n in nodes if n.removeprefix("server-").partition(".")[0] == number)
-    return servers[-1] if far.startswith("exchange ") and servers else far
+    return servers[-1] if remote.startswith("exchange ") and servers else remote
 
 
-def ladder(path: Path_) -> str:
-    """The call as a ladder, times from its first message.
+def ladder(path: CallPath) -> str:
+    """The call as a ladder diagram, with times relative to its first message.
 
-    A message between two captured servers is drawn once, as it is sent; what arrives from a captured server
-    without having been seen to leave there is drawn too, so that a hole in a capture shows.
+    A message between two captured servers is drawn once, at the time of sending.  A message that arrives from
+    a captured server but is not in that server's capture is drawn too, so that gaps in a capture are visible.
     """
-    names, nodes = lanes(path), {s.node for s in path.steps}
-    sent = {_key(s) for s in path.steps if s.out}
+    names, nodes = lanes(path), {step.node for step in path.steps}
+    sent_keys = {_message_key(step) for step in path.steps if step.outgoing}
     first = path.steps[0].time
-    rows = [f"call {path.session} to {path.number}", " " * 12 + "".join(n.center(LANE) for n in names)]
+    rows = [f"call {path.session} to {path.number}", " " * 12 + "".join(n.center(LANE_WIDTH) for n in names)]
     for step in path.steps:
-        far = lane(step.far, nodes)
-        if not step.out and far in nodes and _key(step) in sent:
+        remote = lane_of(step.remote, nodes)
+        if not step.outgoing and remote in nodes and _message_key(step) in sent_keys:
             continue
-        ends = (step.node, far) if step.out else (far, step.node)
-        drawn = arrow(names.index(ends[0]), names.index(ends[1]), len(names), step.what)
-        rows.append(f"{(step.time - first) / MS:9.1f} ms{drawn}")
+        ends = (step.node, remote) if step.outgoing else (remote, step.node)
+        row = arrow(names.index(ends[0]), names.index(ends[1]), len(names), step.summary)
+        rows.append(f"{(step.time - first) / MS:9.1f} ms{row}")
     return "\n".join(rows)
 
 
-def _key(step: Step) -> tuple[str, str, str, str]:
+def _message_key(step: Step) -> tuple[str, str, str, str]:
     m = step.message
     return m.call_id, m.method or str(m.status), m.get("cseq"), m.branch
 
 
 def arrow(source: int, target: int, count: int, text: str) -> str:
-    """One row of the ladder between its lanes."""
-    cells = [" "] * (LANE * count)
+    """The row of a ladder diagram with an arrow between two lanes."""
+    cells = [" "] * (LANE_WIDTH * count)
     for i in range(count):
-        cells[LANE * i + LANE // 2] = "|"
-    left, right = sorted((LANE * source + LANE // 2, LANE * target + LANE // 2))
+        cells[LANE_WIDTH * i + LANE_WIDTH // 2] = "|"
+    left, right = sorted((LANE_WIDTH * source + LANE_WIDTH // 2, LANE_WIDTH * target + LANE_WIDTH // 2))
     if left == right:
         return "".join(cells).rstrip() + f"  {text} (to itself)"
     for i in range(left + 1, right):
@@ -184,8 +190,8 @@
 # -- spans -------------------------------------------------------------------------------------------------
 
 
-class _Ids(IdGenerator):
-    """Ids that follow from the call: the trace's is the Session-ID, spans are numbered."""
+class _SequentialIds(IdGenerator):
+    """Deterministic ids: the trace id comes from the Session-ID, spans are numbered."""
 
     def __init__(self) -> None:
         self.trace, self.spans = 1, 0
@@ -198,8 +204,8 @@
         return self.spans
 
 
-class _Lines(SpanExporter):
-    """A span a line, as JSON."""
+class _JsonLinesExporter(SpanExporter):
+    """Writes spans to a file, one JSON object per line."""
 
     def __init__(self, path: Path) -> None:
         self.sink = path.open("w", encoding="utf-8")
@@ -213,53 +219,53 @@
         self.sink.close()
 
 
-def write_spans(found: Iterable[Path_], out: Path) -> int:
-    """Spans of all calls to a file, a span a line; how many."""
-    ids = _Ids()
+def write_spans(found: Iterable[CallPath], out: Path) -> int:
+    """Write the spans of all calls to a file, one per line.  Returns the number of spans."""
+    ids = _SequentialIds()
     provider = TracerProvider(id_generator=ids, resource=Resource({"service.name": "eiderstep"}))
-    provider.add_span_processor(SimpleSpanProcessor(_Lines(out)))
+    provider.add_span_processor(SimpleSpanProcessor(_JsonLinesExporter(out)))
     tracer = provider.get_tracer("eiderstep")
     for path in found:
-        ids.trace = _number(path.session)
-        _spans(tracer, path)
+        ids.trace = _trace_id(path.session)
+        _add_spans(tracer, path)
     provider.shutdown()
     return ids.spans
 
 
-def _number(session: str) -> int:
+def _trace_id(session: str) -> int:
     try:
         return int(session[:32], 16) or 1
     except ValueError:
         return int.from_bytes(session.encode()[:16], "big") or 1
 
 
-def _spans(tracer: otel.Tracer, path: Path_) -> None:
-    """The try at each server, under it each set-up, under that the try at a captured server it reaches."""
+def _add_spans(tracer: otel.Tracer, path: CallPath) -> None:
+    """Add the spans of one call, as described in the module's docstring."""
     nodes = {s.node for s in path.steps}
-    legs: dict[tuple[str, str], list[Step]] = {}
+    dialogs: dict[tuple[str, str], list[Step]] = {}
     for step in path.steps:
-        legs.setdefault((step.node, step.message.call_id), []).append(step)
-    roots = [leg for leg in legs.values() if not leg[0].out]
-    onward = [leg for leg in legs.values() if leg[0].out]
-    open_spans: dict[str, otel.Span] = {}  # by node: the try there
-    toward: dict[str, otel.Span] = {}  # by node: the set-up that leads there
-    for leg in sorted(roots + onward, key=lambda leg: leg[0].time):
-        first, node = leg[0], leg[0].node
-        parent = toward.get(node) if not first.out else open_spans.get(node)
+        dialogs.setdefault((step.node, step.message.call_id), []).append(step)
+    incoming = [steps for steps in dialogs.values() if not steps[0].outgoing]
+    set_ups = [steps for steps in dialogs.values() if steps[0].outgoing]
+    call_spans: dict[str, otel.Span] = {}  # by node: the span of the call there
+    set_up_spans: dict[str, otel.Span] = {}  # by node: the span of the set-up that leads there
+    for steps in sorted(incoming + set_ups, key=lambda steps: steps[0].time):
+        first, node = steps[0], steps[0].node
+        parent = set_up_spans.get(node) if not first.outgoing else call_spans.get(node)
         context = otel.set_span_in_context(parent) if parent is not None else None
-        name = f"set-up to {first.far}" if first.out else f"call at {node}"
+        name = f"set-up to {first.remote}" if first.outgoing else f"call at {node}"
         span = tracer.start_span(name, context=context, start_time=first.time)
         span.set_attributes({"call.session": path.session, "call.number": path.number, "server": node})
-        span.set_attributes({"far": first.far, "sip.call_id": first.message.call_id})
-        final = next((s.message.status for s in leg if s.message.status >= 200), 0)
+        span.set_attributes({"far": first.remote, "sip.call_id": first.message.call_id})
+        final = next((s.message.status for s in steps if s.message.status >= 200), 0)
         if final:
             span.set_attribute("sip.status", final)
             if final >= 300:
                 span.set_status(otel.Status(otel.StatusCode.ERROR, f"{final}"))
-        for step in leg:
-            span.add_event(f"{'sent' if step.out else 'received'} {step.what}", timestamp=step.time)
-        if first.out:
-            toward[lane(first.far, nodes)] = span
+        for step in steps:
+            span.add_event(f"{'sent' if step.outgoing else 'received'} {step.summary}", timestamp=step.time)
+        if first.outgoing:
+            set_up_spans[lane_of(first.remote, nodes)] = span
         else:
-            open_spans[node] = span
-        span.end(leg[-1].time)
+            call_spans[node] = span
+        span.end(steps[-1].time)
--- a/eiderstep/lab/world.py
+++ b/eiderstep/lab/world.py
@@ -27,7 +27,7 @@
 from eiderstep.lab.emulator.conditions import Conditions
 from eiderstep.lab.emulator.hosts import Host
 from eiderstep.lab.process import ProcessServer, StrangerProcess
-from eiderstep.lab.registry import APP, REPLICATION, EurekaSite
+from eiderstep.lab.registry import APP, REPLICATION_DELAY_S, EurekaSite
 from eiderstep.lab.script import SECOND, Day
 from eiderstep.server.node import CallServer
 from eiderstep.sip.message import split_address
@@ -302,7 +302,7 @@
         if fleet.list_from in ("register", "both"):
             sources.append(RegisterStandin(self.loop, fleet.register_lag / SECOND))
         if fleet.list_from in ("registry", "both"):
-            cache_lag = (fleet.register_lag - fleet.poll / 2) / SECOND - REPLICATION / 2
+            cache_lag = (fleet.register_lag - fleet.poll / 2) / SECOND - REPLICATION_DELAY_S / 2
             sources.append(EurekaSite(self.loop, max(cache_lag, 0.0), fleet.skew))
         return sources
 
@@ -400,8 +400,8 @@
             server = site.server
             if isinstance(server, ProcessServer):
                 server_calls, server_circuits, server_counts = (
-                    server.left["calls"],
-                    server.left["circuits"],
+                    server.remaining["calls"],
+                    server.remaining["circuits"],
                     server.counts,
                 )
             else:
