--- a/eiderstep/audit/eureka.py
+++ b/eiderstep/audit/eureka.py
@@ -49,7 +49,7 @@
     """The successive connections of one call server to one registry address."""
 
     def __init__(self) -> None:
-        self.requested_paths: list[str] = []
+        self.requested_paths: list[str] = []  # of pending requests; "" if not a GET
         self.max_instances = 0  # largest full list so far
         self.completed: list[RegistryResponse] = []
         self._reset()
--- a/eiderstep/lab/arrivals.py
+++ b/eiderstep/lab/arrivals.py
@@ -113,10 +113,10 @@
 
 @dataclass(frozen=True)
 class Redials:
-    """A blocked caller redials with probability `share` after a mean wait of `wait` seconds."""
+    """A blocked caller redials with probability `share` after a mean wait of `mean_wait` seconds."""
 
     share: float = 0.0
-    wait: float = 20.0
+    mean_wait: float = 20.0
 
 
 @dataclass(frozen=True)
@@ -213,7 +213,7 @@
                 if observer is not None:
                     observer.blocked(1, kind_index, event == REDIAL, False)
                 if rng.random() < redial.share:
-                    push(at + rng.expovariate(1 / redial.wait), REDIAL, kind_index)
+                    push(at + rng.expovariate(1 / redial.mean_wait), REDIAL, kind_index)
             else:
                 busy += kind.width
                 hold = rng.expovariate(1 / kind.hold)
--- a/eiderstep/lab/day.py
+++ b/eiderstep/lab/day.py
@@ -118,7 +118,7 @@
         self.rng = Random(world.seed ^ 0xDA7)
         self.bursts: list[tuple[float, float, float, float]] = []  # start, end, rise time (s), peak factor
         self.shifts: list[dict[int, float]] = []  # weights of destinations, for each active `shift` trouble
-        self.idle: list[Any] = []
+        self.idle: list[Any] = []  # connections opened by the `half_open` trouble
         self.samples: list[Sample] = []
         self.over = False
 
@@ -148,8 +148,8 @@
                 site.callers._hang_up(call)
             site.callers.pump()
         for exchange in world.exchanges.values():
-            for onward in list(exchange.legs_out.values()):
-                exchange._drop(onward)
+            for leg in list(exchange.legs_out.values()):
+                exchange._drop(leg)
             exchange.pump()
         await asyncio.sleep(day.settle / SECOND)
 
@@ -192,6 +192,7 @@
             rate = day.traffic.rate * self.burst_factor() * sum(floods) / len(others)
             next_at += rng.expovariate(rate)
             await asyncio.sleep(max(next_at - self.loop.time(), 0.0))
+            # After a stall of the process, at most the arrivals of the last second are made up for.
             next_at = max(next_at, self.loop.time() - 1.0)
             cls = rng.choices(classes, shares)[0]
             shifts = [prod(shift[n] for shift in self.shifts) for n in others]
--- a/eiderstep/lab/registry.py
+++ b/eiderstep/lab/registry.py
@@ -36,14 +36,15 @@
     def __init__(self, loop: asyncio.AbstractEventLoop, lag: float, skew: float = 0.0) -> None:
         """`lag`: delay until a change is visible (s).  `skew`: the lead of the exchanges' clocks (s)."""
         self.loop, self.skew = loop, skew
-        self.tables = [Table(loop, self.epoch, lag, REPLICATION_DELAY_S) for _ in range(2)]
+        self.tables = [Table(loop, self.now_ms, lag, REPLICATION_DELAY_S) for _ in range(2)]
         for table in self.tables:
             table.peers = [other for other in self.tables if other is not table]
         self.peers = [Eureka(loop, table) for table in self.tables]
         self.registrations: dict[str, Registration] = {}
         self.closed = False
 
-    def epoch(self) -> int:
+    def now_ms(self) -> int:
+        """The time of the registry's clock."""
         return EPOCH + int(self.loop.time() * 1000)
 
     @property
@@ -123,7 +124,7 @@
         status = "UP" if entry.state == "up" else "DOWN"
         return Record(
             APP, registration.id, host, int(port), metadata, status,
-            dirty=self.epoch() + int(self.skew * 1000), renew=RENEWAL_INTERVAL_S, duration=LEASE_DURATION_S,
+            dirty=self.now_ms() + int(self.skew * 1000), renew=RENEWAL_INTERVAL_S, duration=LEASE_DURATION_S,
         )  # fmt: skip
 
     def _beat(self) -> None:
--- a/eiderstep/lab/world.py
+++ b/eiderstep/lab/world.py
@@ -360,19 +360,13 @@
         if not fleet.own_work:
             return None
         making = Making(fleet.capacity, cold.share, cold.time / SECOND, fleet.warm_up)
-        return Processor(making, self.loop.time, lambda after, what: None, started)
+        return Processor(making, self.loop.time, lambda delay, callback: None, started)
 
     # -- traffic -------------------------------------------------------------------------------------------
 
     def classes(self) -> list[Class]:
         return [
-            Class(
-                c.name,
-                c.worth,
-                c.aim / SECOND,
-                c.mean_hold / SECOND,
-                c.late_share,
-            )
+            Class(c.name, c.worth, c.aim / SECOND, c.mean_hold / SECOND, c.late_share)
             for c in self.day.classes
         ]
 
@@ -383,7 +377,7 @@
     def number_of(self, dest: int, rng: Random) -> str:
         return f"{number_prefix(dest)}{rng.randrange(SUBSCRIBERS):04d}"
 
-    # -- results ------------------------------------------------------------------------------------------
+    # -- results -------------------------------------------------------------------------------------------
 
     def captured(self) -> Capture:
         """The traffic on the call servers' sockets; complete once they have stopped."""
