--- a/eiderstep/__init__.py
+++ b/eiderstep/__init__.py
@@ -1,4 +1,4 @@
-"""eiderstep: which calls a signalling controller sets up, and over which route."""
+"""eiderstep: admission and routing of calls between exchanges that are joined by trunk groups."""
 
 from eiderstep.decide import Controller
 from eiderstep.interface import Settings
--- a/eiderstep/__main__.py
+++ b/eiderstep/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m eiderstep`."""
+"""Entry point of `python -m eiderstep`."""
 
 from eiderstep.cli import main
 
--- a/eiderstep/cli/__init__.py
+++ b/eiderstep/cli/__init__.py
@@ -1,4 +1,4 @@
-"""The command `eiderstep`, one file a sub-command."""
+"""The command `eiderstep`; each sub-command is in a module of its own."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def main() -> None:
-    """Run the command; what is wrong with a script is one line on standard error and exit 2."""
+    """Run the command; an error in settings, scripts or keys is one line on standard error and exit 2."""
     try:
         app()
     except (ConfigError, KeysError) as problem:
--- a/eiderstep/cli/bench.py
+++ b/eiderstep/cli/bench.py
@@ -9,12 +9,12 @@
 
 
 def bench(
-    seconds: Annotated[float, typer.Option(help="How long each part runs.")] = 8.0,
-    standing: Annotated[int, typer.Option(help="Calls that stand while memory is measured.")] = 20_000,
-    exchanges: Annotated[str, typer.Option(help="Fleet sizes, between commas.")] = "6,60",
-    out: Annotated[Path | None, typer.Option(help="Write the table here, beside printing it.")] = None,
+    seconds: Annotated[float, typer.Option(help="Seconds that each part runs.")] = 8.0,
+    standing: Annotated[int, typer.Option(help="Standing calls while memory is measured.")] = 20_000,
+    exchanges: Annotated[str, typer.Option(help="Fleet sizes, comma-separated.")] = "6,60",
+    out: Annotated[Path | None, typer.Option(help="Also write the table to this file.")] = None,
 ) -> None:
-    """Measure one call server beside a bare relay, over loopback sockets."""
+    """Benchmark one call server against a bare relay, over loopback sockets."""
     from eiderstep.lab import bench as lab
 
     sizes = [int(part) for part in exchanges.split(",")]
--- a/eiderstep/cli/check.py
+++ b/eiderstep/cli/check.py
@@ -11,10 +11,10 @@
 
 
 def check(settings: Annotated[Path, typer.Argument(help="The settings, a Starlark script.")]) -> None:
-    """Check settings without serving; one line, exit 0 or 2."""
-    found = load_settings(settings)
-    circuits = sum(p.circuits for p in found.peers)
+    """Validate settings without serving: prints one line; exit 0 if they are valid, 2 if not."""
+    loaded = load_settings(settings)
+    circuits = sum(peer.circuits for peer in loaded.peers)
     print(
-        f"{settings}: exchange {found.number}, {len(found.peers)} peers, {circuits} circuits, "
-        f"{len(found.classes)} classes, {len(found.dial_plan)} routes: good"
+        f"{settings}: exchange {loaded.number}, {len(loaded.peers)} peers, {circuits} circuits, "
+        f"{len(loaded.classes)} classes, {len(loaded.dial_plan)} routes: good"
     )
--- a/eiderstep/cli/experiment.py
+++ b/eiderstep/cli/experiment.py
@@ -12,25 +12,28 @@
 
 import typer
 
-from eiderstep.cli.rehearse import fixed
+from eiderstep.cli.rehearse import parse_overrides
 
 if TYPE_CHECKING:
     from eiderstep.lab.experiment.compare import Difference
     from eiderstep.lab.experiment.store import Results, Run
 
-app = typer.Typer(no_args_is_help=True, help="Grids of rehearsals: run, keep, compare, report, hunt.")
-Store = Annotated[Path, typer.Option(help="The store of results.")]
-STORE = Path("experiments.db")
-Folder = Annotated[Path, typer.Option(help="The scenarios, GROUP/NAME.star.")]
-SCENARIOS = Path("scenarios")
-Processes = Annotated[int, typer.Option(min=1, max=256, help="How many plays at once.")]
-CORES = os.cpu_count() or 1
-
-
-def numbers(text: str, what: str) -> list[int]:
-    """`1-5,8` as numbers."""
-    found: list[int] = []
-    for part in text.split(","):
+app = typer.Typer(
+    no_args_is_help=True,
+    help="Run, store, compare and report grids of rehearsals; search for the worst draws.",
+)
+StoreOption = Annotated[Path, typer.Option(help="The SQLite file of results.")]
+DEFAULT_STORE = Path("experiments.db")
+FolderOption = Annotated[Path, typer.Option(help="Folder of scenarios, as GROUP/NAME.star.")]
+DEFAULT_FOLDER = Path("scenarios")
+ProcessesOption = Annotated[int, typer.Option(min=1, max=256, help="Plays that run at once.")]
+CPU_COUNT = os.cpu_count() or 1
+
+
+def parse_ranges(ranges: str, option: str) -> list[int]:
+    """Parse a list such as `1-5,8`.  Raises BadParameter, which names the option."""
+    numbers: list[int] = []
+    for part in ranges.split(","):
         first, dash, last = part.strip().partition("-")
         try:
             low, high = int(first), int(last if dash else first)
@@ -38,13 +41,13 @@
             low, high = 1, 0
         if low > high:
             raise typer.BadParameter(
-                f"found {text!r}; allowed: numbers and ranges such as 1-5,8", param_hint=what
+                f"found {ranges!r}; allowed: numbers and ranges such as 1-5,8", param_hint=option
             )
-        found += range(low, high + 1)
-    return found
+        numbers += range(low, high + 1)
+    return numbers
 
 
-def opened(path: Path) -> Results:
+def open_results(path: Path) -> Results:
     from eiderstep.lab.experiment.store import Results, StoreError
 
     try:
@@ -53,7 +56,7 @@
         raise typer.BadParameter(str(problem), param_hint="--store") from None
 
 
-def runs_of(results: Results, name: str, code: str = "") -> list[Run]:
+def load_runs(results: Results, name: str, code: str = "") -> list[Run]:
     from eiderstep.lab.experiment.store import StoreError
 
     try:
@@ -64,20 +67,24 @@
 
 @app.command("run")
 def run(
-    name: Annotated[str, typer.Argument(help="The experiment; one that was stopped goes on.")],
-    scenario: Annotated[list[str] | None, typer.Option(help="A scenario or a group; all if none.")] = None,
-    seeds: Annotated[str, typer.Option(help="Such as 1-5,8.")] = "1-3",
-    servers: Annotated[str, typer.Option(help="Fleets, such as scripted,1,3,all.")] = "scripted",
-    minds: Annotated[str, typer.Option(help="module, direct, random, between commas.")] = "module",
+    name: Annotated[str, typer.Argument(help="The experiment; one that was interrupted is resumed.")],
+    scenario: Annotated[
+        list[str] | None, typer.Option(help="A scenario or a group; may be repeated; default: all.")
+    ] = None,
+    seeds: Annotated[str, typer.Option(help="Seeds and ranges of seeds, such as 1-5,8.")] = "1-3",
+    servers: Annotated[
+        str, typer.Option(help="Numbers of call servers, such as scripted,1,3,all.")
+    ] = "scripted",
+    minds: Annotated[str, typer.Option(help="What decides the routes: module, direct, random.")] = "module",
     sets: Annotated[
-        list[str] | None, typer.Option("--set", help="NAME=VALUE;... : one more side, with these draws.")
+        list[str] | None, typer.Option("--set", help="NAME=VALUE;... : one more variant, with these draws.")
     ] = None,
-    processes: Processes = CORES,
-    folder: Folder = SCENARIOS,
-    store: Store = STORE,
-    most: Annotated[int, typer.Option(help="Stop after so many plays; 0: play all.")] = 0,
+    processes: ProcessesOption = CPU_COUNT,
+    folder: FolderOption = DEFAULT_FOLDER,
+    store: StoreOption = DEFAULT_STORE,
+    most: Annotated[int, typer.Option(help="Stop after this many plays; 0: play all.")] = 0,
 ) -> None:
-    """Play a grid of scenarios, seeds, fleets and settings; exit 1 where a play is not good."""
+    """Play a grid of scenarios, seeds, fleets and settings; exit 1 if a play is not good."""
     from rich.progress import Progress
 
     from eiderstep.lab.baselines import MINDS
@@ -85,95 +92,96 @@
     from eiderstep.lab.experiment.runner import run as play
     from eiderstep.lab.experiment.store import StoreError
 
-    chosen = [m.strip() for m in minds.split(",")]
-    for one in chosen:
-        if one not in MINDS:
-            raise typer.BadParameter(f"found {one!r}; allowed: {', '.join(MINDS)}", param_hint="--minds")
+    deciders = [decider.strip() for decider in minds.split(",")]
+    for decider in deciders:
+        if decider not in MINDS:
+            raise typer.BadParameter(f"found {decider!r}; allowed: {', '.join(MINDS)}", param_hint="--minds")
     fleets = {"scripted": -1, "all": 0}
-    settings = [{}, *(fixed(one.split(";")) for one in sets or [])]
+    settings = [{}, *(parse_overrides(assignments.split(";")) for assignments in sets or [])]
     grid = Grid(
-        str(folder), scenario or [], numbers(seeds, "--seeds"),
-        [fleets[f] if f in fleets else numbers(f, "--servers")[0] for f in servers.split(",")],
-        chosen, settings,
+        str(folder), scenario or [], parse_ranges(seeds, "--seeds"),
+        [fleets[f] if f in fleets else parse_ranges(f, "--servers")[0] for f in servers.split(",")],
+        deciders, settings,
     )  # fmt: skip
-    results = opened(store)
-    bad = 0
-    when = datetime.now(UTC).isoformat(timespec="seconds")
+    results = open_results(store)
+    not_good = 0
+    begun = datetime.now(UTC).isoformat(timespec="seconds")
     with Progress(disable=not sys.stderr.isatty()) as progress:
         bar = progress.add_task(name)
 
-        def heard(one: Run, done: int, of: int) -> None:
-            nonlocal bad
-            good = one.status == "done" and one.result["good"]
-            bad += not good
-            progress.update(bar, completed=done, total=of)
-            service = "" if one.service is None else f"{one.service:.3f}"
-            said = "" if good else f"  NOT GOOD {one.status} {one.result.get('why', '')}"
+        def report_progress(run: Run, done_count: int, total: int) -> None:
+            nonlocal not_good
+            good = run.status == "done" and run.result["good"]
+            not_good += not good
+            progress.update(bar, completed=done_count, total=total)
+            service = "" if run.service is None else f"{run.service:.3f}"
+            failure = "" if good else f"  NOT GOOD {run.status} {run.result.get('why', '')}"
             print(
-                f"{done}/{of} {one.job.scenario} seed {one.job.seed} {one.job.setting} {service}{said}",
+                f"{done_count}/{total} {run.job.scenario} seed {run.job.seed} {run.job.setting} "
+                f"{service}{failure}",
                 flush=True,
             )
 
         try:
-            played = play(results, name, grid, processes, when, heard, most)
+            played = play(results, name, grid, processes, begun, report_progress, most)
         except (StoreError, ValueError) as problem:
             raise typer.BadParameter(str(problem)) from None
-    print(f"{name}: {played} played, {bad} not good")
-    sys.exit(1 if bad else 0)
+    print(f"{name}: {played} played, {not_good} not good")
+    sys.exit(1 if not_good else 0)
 
 
 @app.command("list")
-def show(store: Store = STORE) -> None:
-    """What the store holds."""
-    for name, began, count, bad in opened(store).experiments():
-        print(f"{name}: begun {began}, {count} plays, {bad} not good")
+def show(store: StoreOption = DEFAULT_STORE) -> None:
+    """List the experiments in the store."""
+    for name, began, count, not_good in open_results(store).experiments():
+        print(f"{name}: begun {began}, {count} plays, {not_good} not good")
 
 
-def sides(runs: Sequence[Run], first: str, second: str) -> tuple[list[Run], list[Run]]:
-    """Runs by setting, as `Job.setting` names it."""
+def split_by_setting(runs: Sequence[Run], first: str, second: str) -> tuple[list[Run], list[Run]]:
+    """The runs of each of two settings, named as by `Job.setting`.  Raises BadParameter."""
     settings = sorted({r.job.setting for r in runs})
-    for one in (first, second):
-        if one not in settings:
-            said = f"found {one!r}; allowed: {'; '.join(settings)}"
-            raise typer.BadParameter(said, param_hint="settings")
+    for setting in (first, second):
+        if setting not in settings:
+            message = f"found {setting!r}; allowed: {'; '.join(settings)}"
+            raise typer.BadParameter(message, param_hint="settings")
     return [r for r in runs if r.job.setting == first], [r for r in runs if r.job.setting == second]
 
 
 @app.command("compare")
 def compare(
     name: Annotated[str, typer.Argument(help="The experiment.")],
-    first: Annotated[str, typer.Option(help="A setting.")] = "as scripted",
-    second: Annotated[str, typer.Option(help="Another.")] = "",
-    codes: Annotated[str, typer.Option(help="OLD,NEW: two versions of the code instead.")] = "",
-    other: Annotated[str, typer.Option(help="Another experiment instead.")] = "",
-    store: Store = STORE,
+    first: Annotated[str, typer.Option(help="The setting of the first side.")] = "as scripted",
+    second: Annotated[str, typer.Option(help="The setting of the second side.")] = "",
+    codes: Annotated[str, typer.Option(help="Compare two versions of the code instead: OLD,NEW.")] = "",
+    other: Annotated[str, typer.Option(help="Compare with this experiment instead.")] = "",
+    store: StoreOption = DEFAULT_STORE,
 ) -> None:
-    """Service of two sides, paired by scenario and seed, with 95% intervals."""
-    from eiderstep.lab.experiment.compare import compare as differ
+    """Compare the service of two sides, paired by scenario and seed, with 95% intervals."""
+    from eiderstep.lab.experiment.compare import compare as compare_runs
 
-    results = opened(store)
+    results = open_results(store)
     if codes:
         old, _, new = codes.partition(",")
-        one, two = runs_of(results, name, old), runs_of(results, name, new)
+        first_runs, second_runs = load_runs(results, name, old), load_runs(results, name, new)
     elif other:
-        one, two = runs_of(results, name), runs_of(results, other)
+        first_runs, second_runs = load_runs(results, name), load_runs(results, other)
     else:
-        one, two = sides(runs_of(results, name), first, second)
+        first_runs, second_runs = split_by_setting(load_runs(results, name), first, second)
     try:
-        found = differ(one, two)
+        differences = compare_runs(first_runs, second_runs)
     except ValueError as problem:
         raise typer.BadParameter(str(problem)) from None
-    show_differences(found)
+    show_differences(differences)
 
 
-def show_differences(found: list[Difference]) -> None:
+def show_differences(differences: list[Difference]) -> None:
     from rich.console import Console
     from rich.table import Table
 
     table = Table()
     for title in ("scenario", "pairs", "first", "second", "second less first", "95%", "", "rules broken"):
         table.add_column(title, justify="left" if title in ("scenario", "") else "right")
-    for d in found:
+    for d in differences:
         table.add_row(
             d.name, str(d.pairs), f"{d.first:.3f}", f"{d.second:.3f}", f"{d.mean:+.3f}",
             f"{d.low:+.3f} to {d.high:+.3f}", d.verdict, f"{d.broken[0]}, {d.broken[1]}",
@@ -185,31 +193,31 @@
 def report(
     name: Annotated[str, typer.Argument(help="The experiment.")],
     out: Annotated[Path, typer.Option(help="The HTML file.")] = Path("experiment.html"),
-    store: Store = STORE,
+    store: StoreOption = DEFAULT_STORE,
 ) -> None:
-    """One HTML page that stands without a network."""
+    """Write one self-contained HTML page that needs no network."""
     from eiderstep.lab.experiment.report import page
 
     try:
-        text = page(name, runs_of(opened(store), name))
+        html = page(name, load_runs(open_results(store), name))
     except ValueError as problem:
         raise typer.BadParameter(str(problem)) from None
-    out.write_text(text, encoding="utf-8")
+    out.write_text(html, encoding="utf-8")
     print(out)
 
 
 @app.command("hunt")
 def hunt(
-    scenario: Annotated[str, typer.Argument(help="GROUP/NAME of the folder.")],
-    budget: Annotated[int, typer.Option(min=2, help="Plays of the search.")] = 40,
-    seed: Annotated[int, typer.Option(help="The first seed, and the chance of the search.")] = 1,
+    scenario: Annotated[str, typer.Argument(help="The scenario, as GROUP/NAME.")],
+    budget: Annotated[int, typer.Option(min=2, help="Plays that the search may use.")] = 40,
+    seed: Annotated[int, typer.Option(help="The first seed of the plays, and the seed of the search.")] = 1,
     servers: Annotated[int, typer.Option(help="Call servers; 0: all, -1: as scripted.")] = -1,
-    processes: Processes = CORES,
-    folder: Folder = SCENARIOS,
-    store: Store = STORE,
-    as_json: Annotated[bool, typer.Option("--json", help="What was found, as JSON.")] = False,
+    processes: ProcessesOption = CPU_COUNT,
+    folder: FolderOption = DEFAULT_FOLDER,
+    store: StoreOption = DEFAULT_STORE,
+    as_json: Annotated[bool, typer.Option("--json", help="Print the result as JSON.")] = False,
 ) -> None:
-    """The draw that goes worst, cut down to what matters; exit 1 where it breaks a rule."""
+    """Search for the draws with the worst result, then minimise them; exit 1 if they break a rule."""
     from eiderstep.lab.emulator.scenario import load
     from eiderstep.lab.experiment.hunt import BROKEN, Hunt
     from eiderstep.lab.experiment.runner import Grid, Pool
@@ -223,25 +231,25 @@
         raise typer.BadParameter(f"found {scenario!r}, {len(paths)} scenarios; allowed: one")
     (path,), (job,) = paths, grid.jobs()
     plan, draws = load(path, seed)
-    results = opened(store)
+    results = open_results(store)
     name = f"hunt {scenario} {seed}"
     results.begin(name, {"hunt": scenario, "seed": seed}, datetime.now(UTC).isoformat(timespec="seconds"))
     with Pool(str(folder), processes, results, name) as pool:
         search = Hunt(pool.play, draws.ranges, len(plan.troubles), seed)
         worst = search.search(job, budget, processes)
         found = search.shrink(worst)
-    shown: dict[str, Any] = {
+    summary: dict[str, Any] = {
         "scenario": scenario, "seed": found.job.seed, "why": found.why, "badness": round(found.badness, 4),
         "service": found.run.service, "bound": found.run.result.get("bound"), "draws": found.draws,
         "without": list(found.job.without), "breaches": found.run.result.get("breaches", [])[:5],
         "played": found.played, "history": found.history,
     }  # fmt: skip
     if as_json:
-        print(json.dumps(shown))
+        print(json.dumps(summary))
     else:
         print("\n".join(f"  {line}" for line in found.history))
         print(f"{scenario}: {found.why} {found.badness:.3f} after {found.played} plays")
-        again = [f"--seed {found.job.seed}"] + [f"--without {i}" for i in found.job.without]
-        again += [f"--set '{k}={json.dumps(v)}'" for k, v in found.draws.items()]
-        print(f"again: eiderstep rehearse {path} {' '.join(again)}")
+        options = [f"--seed {found.job.seed}"] + [f"--without {index}" for index in found.job.without]
+        options += [f"--set '{draw}={json.dumps(value)}'" for draw, value in found.draws.items()]
+        print(f"again: eiderstep rehearse {path} {' '.join(options)}")
     sys.exit(1 if found.badness >= BROKEN else 0)
--- a/eiderstep/cli/keys.py
+++ b/eiderstep/cli/keys.py
@@ -1,4 +1,4 @@
-"""`eiderstep keys`: a small CA for the links between exchanges and members' callers."""
+"""`eiderstep keys`: a small CA for the TLS links between exchanges and to members' callers."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 
 from eiderstep.trust.proof import KeysError
 
-app = typer.Typer(no_args_is_help=True, help="Keys and certificates: made, renewed, revoked, shown.")
+app = typer.Typer(no_args_is_help=True, help="Create, renew, revoke and list keys and certificates.")
 Folder = Annotated[Path, typer.Argument(help="The CA's folder.")]
 Domain = Annotated[str, typer.Argument(help="A SIP domain, such as x1.midlands.")]
-Hours = Annotated[float, typer.Option(help="How long the certificate is good.")]
+Hours = Annotated[float, typer.Option(help="Hours that the certificate is valid.")]
 
 
 @contextmanager
-def _errors() -> Iterator[None]:
-    """One line and exit 2 for what cannot be done."""
+def _exit_2_on_error() -> Iterator[None]:
+    """Turn a missing package, KeysError and OSError into one line on standard error and exit 2."""
     try:
         import cryptography  # noqa: F401
     except ImportError as problem:
@@ -41,20 +41,20 @@
 def ca(
     folder: Folder,
     name: Annotated[str, typer.Option(help="The CA's name.")] = "eiderstep",
-    days: Annotated[float, typer.Option(help="How long it is good.")] = 3650.0,
+    days: Annotated[float, typer.Option(help="Days that the CA certificate is valid.")] = 3650.0,
 ) -> None:
-    """Make a CA: ca.pem for everybody, ca.key for this folder alone, an empty crl.pem."""
-    with _errors():
+    """Create a CA: ca.pem to be distributed, ca.key to stay in this folder, and an empty crl.pem."""
+    with _exit_2_on_error():
         from eiderstep.trust.authority import Authority
 
-        made = Authority.make(folder, name, time.time(), days)
-        print(f"{made.folder}: ca.pem, ca.key, crl.pem")
+        authority = Authority.make(folder, name, time.time(), days)
+        print(f"{authority.folder}: ca.pem, ca.key, crl.pem")
 
 
 @app.command()
 def issue(folder: Folder, domain: Domain, hours: Hours = 24.0) -> None:
     """Issue a key and a certificate: DOMAIN.pem and DOMAIN.key in the CA's folder."""
-    with _errors():
+    with _exit_2_on_error():
         from eiderstep.trust.authority import Authority
 
         print(Authority(folder).issue(domain, time.time(), hours))
@@ -62,8 +62,8 @@
 
 @app.command()
 def renew(folder: Folder, domain: Domain, hours: Hours = 24.0) -> None:
-    """A new key and certificate in place of the old ones, which count until they end or are revoked."""
-    with _errors():
+    """Issue a new key and certificate for a name; the old one stays valid until it expires or is revoked."""
+    with _exit_2_on_error():
         from eiderstep.trust.authority import Authority
 
         authority = Authority(folder)
@@ -76,8 +76,8 @@
 def revoke(
     folder: Folder, what: Annotated[str, typer.Argument(help="A SIP domain, or one serial number.")]
 ) -> None:
-    """Revoke a certificate, or all of a name, and write crl.pem anew."""
-    with _errors():
+    """Revoke one certificate, or all of a name, and rewrite crl.pem."""
+    with _exit_2_on_error():
         from eiderstep.trust.authority import Authority
 
         for row in Authority(folder).revoke(what, time.time()):
@@ -86,10 +86,10 @@
 
 @app.command()
 def crl(
-    folder: Folder, hours: Annotated[float, typer.Option(help="How long the list is good.")] = 24.0
+    folder: Folder, hours: Annotated[float, typer.Option(help="Hours that the list is valid.")] = 24.0
 ) -> None:
-    """Write the revocation list anew, so that it does not get old."""
-    with _errors():
+    """Reissue the revocation list before it expires."""
+    with _exit_2_on_error():
         from eiderstep.trust.authority import Authority
 
         print(Authority(folder).write_list(time.time(), hours))
@@ -97,10 +97,11 @@
 
 @app.command()
 def show(
-    folder: Folder, as_json: Annotated[bool, typer.Option("--json", help="JSON, a row a line.")] = False
+    folder: Folder,
+    as_json: Annotated[bool, typer.Option("--json", help="Print one JSON object a line.")] = False,
 ) -> None:
-    """What was issued: name, serial number, until when, revoked or not.  No key is shown."""
-    with _errors():
+    """List issued certificates: name, serial number, expiry, state.  No key is shown."""
+    with _exit_2_on_error():
         from eiderstep.trust.authority import Authority
 
         now = time.time()
--- a/eiderstep/cli/logs.py
+++ b/eiderstep/cli/logs.py
@@ -1,4 +1,4 @@
-"""The log: structlog, as JSON lines or for a console; one call id through every line."""
+"""Log output through structlog, as JSON lines or for a console; lines of a call carry its id."""
 
 from __future__ import annotations
 
@@ -11,7 +11,10 @@
 
 
 def logger(console: bool, verbose: bool = False) -> Logger:
-    """A logger that the server, the engine and the lab call with level, event, call id and fields."""
+    """Configure structlog; return the function that the server, the engine and the lab log through.
+
+    Its arguments are level, event, call id (empty: none) and fields.  `verbose` also passes level debug.
+    """
     renderer: Any = structlog.dev.ConsoleRenderer() if console else structlog.processors.JSONRenderer()
     structlog.configure(
         processors=[
--- a/eiderstep/cli/registry.py
+++ b/eiderstep/cli/registry.py
@@ -19,68 +19,78 @@
 from eiderstep.registry import survey
 from eiderstep.registry.http import Failed
 
-app = typer.Typer(no_args_is_help=True, help="The list of exchanges from a Eureka registry.")
+app = typer.Typer(no_args_is_help=True, help="Inspect and change the list of exchanges in a Eureka registry.")
 T = TypeVar("T")
 Settings = Annotated[Path, typer.Argument(help="The settings, a Starlark script.")]
 STATUSES = ("UP", "DOWN", "OUT_OF_SERVICE", "STARTING", "UNKNOWN")
 
 
-def _read(path: Path) -> tuple[ServerSettings, Registry, tuple[io.OfficeEntry, ...]]:
+def _load(path: Path) -> tuple[ServerSettings, Registry, tuple[io.OfficeEntry, ...]]:
     settings = load_settings(path)
     if settings.registry is None:
         raise typer.BadParameter(f"{path} names no registry; allowed: settings with registry(...)")
     return settings, settings.registry, settings.named()
 
 
-def _run(what: Coroutine[Any, Any, T]) -> T:
+def _run_coroutine(coroutine: Coroutine[Any, Any, T]) -> T:
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        return runner.run(what)
+        return runner.run(coroutine)
 
 
 @app.command()
 def show(
-    settings: Settings, as_json: Annotated[bool, typer.Option("--json", help="The same as JSON.")] = False
+    settings: Settings,
+    as_json: Annotated[bool, typer.Option("--json", help="Print the result as JSON.")] = False,
 ) -> None:
-    """Ask every address once: what each says, what is believed, and why.  Exit 1 where none answers."""
-    _, registry, named = _read(settings)
+    """Query each registry once; show the answers and the resulting state of each exchange, with the reason.
+
+    Exit 1 if no registry answers.
+    """
+    _, registry, named = _load(settings)
 
-    async def ask() -> dict[str, Any]:
+    async def ask_all() -> dict[str, Any]:
         return await survey.survey(registry, named, asyncio.get_running_loop())
 
-    told = _run(ask())
-    print(json.dumps(told) if as_json else _shown(told))
-    sys.exit(0 if any(r["answers"] for r in told["registries"]) else 1)
+    result = _run_coroutine(ask_all())
+    print(json.dumps(result) if as_json else _format_survey(result))
+    sys.exit(0 if any(r["answers"] for r in result["registries"]) else 1)
 
 
-def _shown(told: dict[str, Any]) -> str:
-    rows = []
-    for one in told["registries"]:
+def _format_survey(result: dict[str, Any]) -> str:
+    lines = []
+    for registry in result["registries"]:
         counts = (
-            ", ".join(f"{n} {status}" for status, n in sorted(one["instances"].items())) or "nobody of ours"
+            ", ".join(f"{count} {status}" for status, count in sorted(registry["instances"].items()))
+            or "no instance of this network"
+        )
+        answer = (
+            f"version {registry['version']}, {counts}, {registry['others']} of other apps, "
+            f"hash {registry['hash']}"
         )
-        said = f"version {one['version']}, {counts}, {one['others']} of other apps, hash {one['hash']}"
-        rows.append(f"{one['address']}: {said if one['answers'] else 'no answer: ' + one['why']}")
-    for row in told["exchanges"]:
-        says = ", ".join(f"{name} {word}" for name, word in row["says"].items())
-        head = f"exchange {row['exchange']} at {row['address']} {row['believed']}"
-        rows.append(f"{head}: {row['why']}" + (f" ({says}; id {row['id']})" if says else ""))
-    rows += [f"note: {json.dumps(note)}" for note in told["notes"]]
-    return "\n".join(rows)
+        lines.append(
+            f"{registry['address']}: {answer if registry['answers'] else 'no answer: ' + registry['why']}"
+        )
+    for exchange in result["exchanges"]:
+        says = ", ".join(f"{registry_name} {status}" for registry_name, status in exchange["says"].items())
+        believed = f"exchange {exchange['exchange']} at {exchange['address']} {exchange['believed']}"
+        lines.append(f"{believed}: {exchange['why']}" + (f" ({says}; id {exchange['id']})" if says else ""))
+    lines += [f"note: {json.dumps(note)}" for note in result["notes"]]
+    return "\n".join(lines)
 
 
 @app.command()
 def watch(settings: Settings) -> None:
-    """Follow as a call server does; a JSON line for each change of the list and each note, until Ctrl-C."""
-    _, registry, named = _read(settings)
+    """Follow the list as a call server does; print each change and each note as a JSON line until Ctrl-C."""
+    _, registry, named = _load(settings)
 
-    def tell(line: dict[str, Any]) -> None:
+    def print_line(line: dict[str, Any]) -> None:
         print(json.dumps(line), flush=True)
 
     async def follow() -> None:
-        await survey.watch(registry, named, asyncio.get_running_loop(), tell)
+        await survey.watch(registry, named, asyncio.get_running_loop(), print_line)
 
     try:
-        _run(follow())
+        _run_coroutine(follow())
     except KeyboardInterrupt:
         return
 
@@ -88,23 +98,25 @@
 @app.command()
 def status(
     settings: Settings,
-    word: Annotated[str, typer.Argument(help="UP, OUT_OF_SERVICE, ...; 'clear' takes it back.")],
+    word: Annotated[str, typer.Argument(help="UP, OUT_OF_SERVICE, ...; 'clear' removes the override.")],
 ) -> None:
-    """Set the operators' status of this call server's own entry."""
-    told, registry, _ = _read(settings)
+    """Override the status of this call server's own registry entry, or remove the override."""
+    server_settings, registry, _ = _load(settings)
     if registry.lease is None:
-        raise typer.BadParameter("registry has no lease: this server has no entry of its own")
+        raise typer.BadParameter(
+            "registry has no lease, so this server has no entry of its own; allowed: settings with a lease"
+        )
     if word not in (*STATUSES, "clear"):
         raise typer.BadParameter(f"found {word!r}; allowed: {', '.join(STATUSES)}, clear")
 
-    async def send() -> int:
+    async def set_status() -> int:
         loop = asyncio.get_running_loop()
-        return await survey.override(registry, told.number, "" if word == "clear" else word, loop)
+        return await survey.override(registry, server_settings.number, "" if word == "clear" else word, loop)
 
     try:
-        answer = _run(send())
+        answer = _run_coroutine(set_status())
     except Failed as problem:
-        print(f"eiderstep: no registry took it: {problem}", file=sys.stderr)
+        print(f"eiderstep: no registry accepted the status: {problem}", file=sys.stderr)
         sys.exit(1)
     print(f"the registry answered {answer}")
     sys.exit(0 if answer < 300 else 1)
@@ -112,11 +124,11 @@
 
 @app.command()
 def cost(
-    out: Annotated[Path | None, typer.Option(help="Write the table here as well.")] = None,
-    polls: Annotated[int, typer.Option(help="Polls of each kind.")] = 100,
+    out: Annotated[Path | None, typer.Option(help="Also write the table to this file.")] = None,
+    polls: Annotated[int, typer.Option(help="Number of polls of each kind.")] = 100,
 ) -> None:
-    """Bytes and CPU of a poll, and what 60 call servers ask of a registry, in calm and after its return."""
-    text = polling.report(polls)
+    """Measure bytes and CPU per poll, and the poll rate of 60 call servers in calm and after an outage."""
+    table = polling.report(polls)
     if out is not None:
-        out.write_text(text)
-    print(text)
+        out.write_text(table)
+    print(table)
--- a/eiderstep/cli/rehearse.py
+++ b/eiderstep/cli/rehearse.py
@@ -9,42 +9,50 @@
 
 import typer
 
-from eiderstep.cli.day import write
+from eiderstep.cli.day import write_artifacts
 
-Sets = Annotated[
-    list[str] | None, typer.Option("--set", help="NAME=VALUE in place of a draw; may be given again.")
+SetOption = Annotated[
+    list[str] | None, typer.Option("--set", help="NAME=VALUE in place of a random draw; may be repeated.")
+]
+WithoutOption = Annotated[
+    list[int] | None, typer.Option(help="Leave out the trouble with this index, from 0; may be repeated.")
 ]
-Withouts = Annotated[list[int] | None, typer.Option(help="Leave out the trouble of that number, from 0.")]
 
 
-def fixed(sets: list[str] | None) -> dict[str, Any]:
-    """What `--set` says, values as JSON."""
-    found: dict[str, Any] = {}
-    for one in sets or []:
-        name, equals, value = one.partition("=")
+def parse_overrides(sets: list[str] | None) -> dict[str, Any]:
+    """Parse the `--set NAME=VALUE` options; values are JSON.  Raises BadParameter."""
+    overrides: dict[str, Any] = {}
+    for assignment in sets or []:
+        name, equals, value = assignment.partition("=")
         try:
-            found[name.strip()] = json.loads(value)
+            overrides[name.strip()] = json.loads(value)
         except ValueError:
             equals = ""
         if not equals or not name.strip():
-            said = f"found {one!r}; allowed: NAME=VALUE, the value a number, a text in quotes or a list"
-            raise typer.BadParameter(said, param_hint="--set")
-    return found
+            message = (
+                f"found {assignment!r}; allowed: NAME=VALUE, the value a number, a text in quotes or a list"
+            )
+            raise typer.BadParameter(message, param_hint="--set")
+    return overrides
 
 
 def rehearse(
-    scenario: Annotated[Path, typer.Argument(help="The scenario, a Starlark script.")],
-    seed: Annotated[int, typer.Option(help="What is drawn, and the chance of the day.")] = 1,
-    sets: Sets = None,
-    without: Withouts = None,
+    scenario: Annotated[Path, typer.Argument(help="The script of the scenario, in Starlark.")],
+    seed: Annotated[int, typer.Option(help="Random seed of the scenario's draws and of the day.")] = 1,
+    sets: SetOption = None,
+    without: WithoutOption = None,
     servers: Annotated[int, typer.Option(help="Call servers; 0: all, -1: as scripted.")] = -1,
-    sockets: Annotated[bool, typer.Option(help="In real time over loopback sockets.")] = False,
-    mind: Annotated[str, typer.Option(help="module, direct or random: what decides.")] = "module",
-    profile: Annotated[bool, typer.Option(help="Book the CPU time to the parts of the program.")] = False,
-    as_json: Annotated[bool, typer.Option("--json", help="The result as JSON.")] = False,
-    keep: Annotated[Path | None, typer.Option(help="Keep result, log and capture here.")] = None,
+    sockets: Annotated[bool, typer.Option(help="Run in real time over loopback sockets.")] = False,
+    mind: Annotated[
+        str, typer.Option(help="What makes the routing decisions: module, direct or random.")
+    ] = "module",
+    profile: Annotated[
+        bool, typer.Option(help="Attribute the CPU time to the parts of the program.")
+    ] = False,
+    as_json: Annotated[bool, typer.Option("--json", help="Print the result as JSON.")] = False,
+    keep: Annotated[Path | None, typer.Option(help="Write result, log and capture to this folder.")] = None,
 ) -> None:
-    """Rehearse a scenario; exit 1 where a rule is broken, a call is left or an expectation fails."""
+    """Rehearse a scenario; exit 1 if a rule is broken, a call is left at the end or an expectation fails."""
     from eiderstep.lab.baselines import MINDS
     from eiderstep.lab.clock import Endless
     from eiderstep.lab.emulator import rehearse as lab
@@ -52,56 +60,60 @@
 
     if mind not in MINDS:
         raise typer.BadParameter(f"found {mind!r}; allowed: {', '.join(MINDS)}", param_hint="--mind")
-    plan, draws = scripts.load(scenario, seed, fixed(sets), without or [])
+    plan, draws = scripts.load(scenario, seed, parse_overrides(sets), without or [])
     if servers > plan.fleet.count:
         raise typer.BadParameter(
             f"found {servers}; allowed: -1 to {plan.fleet.count}", param_hint="--servers"
         )
-    lines: list[dict[str, Any]] = []
+    log_lines: list[dict[str, Any]] = []
 
     def log(level: str, event: str, call: str, fields: dict[str, Any]) -> None:
         if keep is not None:
-            lines.append({"level": level, "event": event, "call": call, **fields})
+            log_lines.append({"level": level, "event": event, "call": call, **fields})
 
     try:
-        found, capture = lab.play(
+        result, capture = lab.play(
             plan, draws, log, None if servers < 0 else servers, sockets, mind=MINDS[mind], profiled=profile
         )
     except ValueError as problem:
         raise typer.BadParameter(str(problem), param_hint="--sockets") from None
     except Endless as problem:
-        print(f"{plan.title}: does not end: {problem}", file=sys.stderr)
+        print(f"{plan.title}: did not end: {problem}", file=sys.stderr)
         sys.exit(1)
-    shown = found.as_json()
+    summary = result.as_json()
     if keep is not None:
-        write(keep, shown, lines, capture)
-    print(json.dumps(shown) if as_json else told(shown))
-    sys.exit(0 if found.good else 1)
+        write_artifacts(keep, summary, log_lines, capture)
+    print(json.dumps(summary) if as_json else _format_summary(summary))
+    sys.exit(0 if result.good else 1)
 
 
-def told(shown: dict[str, Any]) -> str:
-    """A rehearsal for people."""
-    figures = shown["measures"]
-    bound = "not worked out" if shown["bound"] is None else f"{shown['bound']:.3f}"
-    rows = [
-        f"{shown['title']}: seed {shown['seed']}, {shown['servers']} call server(s), {shown['clock']} time",
-        f"  service {figures['service']:.3f} (whole {figures['whole']:.3f}, worst window "
-        f"{figures['worst_window']:.3f}, worst class {figures['worst_class']:.3f}); bound {bound}",
-        f"  callers {shown['asks']}, tries {shown['tries']}, set-ups {shown['set_ups']}, "
-        f"p99 {shown['set_up_ms']['p99']} ms, back after {figures['recovery_s']:.0f} s",
-        "  drawn: " + (", ".join(f"{k} {v}" for k, v in shown["draws"].items()) or "nothing"),
+def _format_summary(summary: dict[str, Any]) -> str:
+    """The result as text for a terminal."""
+    service = summary["measures"]
+    bound = "not worked out" if summary["bound"] is None else f"{summary['bound']:.3f}"
+    lines = [
+        f"{summary['title']}: seed {summary['seed']}, {summary['servers']} call server(s), "
+        f"{summary['clock']} time",
+        f"  service {service['service']:.3f} (whole {service['whole']:.3f}, worst window "
+        f"{service['worst_window']:.3f}, worst class {service['worst_class']:.3f}); bound {bound}",
+        f"  callers {summary['asks']}, tries {summary['tries']}, set-ups {summary['set_ups']}, "
+        f"p99 {summary['set_up_ms']['p99']} ms, recovered after {service['recovery_s']:.0f} s",
+        "  drawn: " + (", ".join(f"{key} {value}" for key, value in summary["draws"].items()) or "nothing"),
     ]
-    for one in shown["failed"]:
-        bounds = [f"{k} {one[k]}" for k in ("least", "most") if one[k] is not None]
-        rows.append(f"  NOT as expected: {one['what']} is {one['found']}, wanted {' and '.join(bounds)}")
-    rows += [f"  BROKEN: {breach}" for breach in shown["breaches"][:10]]
+    for expectation in summary["failed"]:
+        bounds = [f"{key} {expectation[key]}" for key in ("least", "most") if expectation[key] is not None]
+        lines.append(
+            f"  NOT as expected: {expectation['what']} is {expectation['found']}, "
+            f"wanted {' and '.join(bounds)}"
+        )
+    lines += [f"  BROKEN: {breach}" for breach in summary["breaches"][:10]]
     for what in ("unanswered", "left_calls", "left_circuits"):
-        if shown[what]:
-            rows.append(f"  BROKEN: {what.replace('_', ' ')}: {shown[what]}")
-    rows += [f"  error: {text}" for text in shown["errors"][:5]]
-    cpu = shown["cpu"]
-    spent = ", ".join(f"{k} {v:.1f}" for k, v in cpu.items() if k != "seconds")
-    rows.append(f"  CPU {cpu['seconds']:.1f} s" + (f": {spent}" if spent else ""))
-    rows.append(f"  capture {shown['digest'][:16]}")
-    rows.append("  as expected, all rules kept" if shown["good"] else "  NOT GOOD")
-    return "\n".join(rows)
+        if summary[what]:
+            lines.append(f"  BROKEN: {what.replace('_', ' ')}: {summary[what]}")
+    lines += [f"  error: {text}" for text in summary["errors"][:5]]
+    cpu = summary["cpu"]
+    cpu_shares = ", ".join(f"{key} {value:.1f}" for key, value in cpu.items() if key != "seconds")
+    lines.append(f"  CPU {cpu['seconds']:.1f} s" + (f": {cpu_shares}" if cpu_shares else ""))
+    lines.append(f"  capture {summary['digest'][:16]}")
+    lines.append("  as expected, all rules kept" if summary["good"] else "  NOT GOOD")
+    return "\n".join(lines)
--- a/eiderstep/cli/serve.py
+++ b/eiderstep/cli/serve.py
@@ -17,9 +17,9 @@
     capture: Annotated[
         Path | None, typer.Option(help="Write every byte of every socket to this file.")
     ] = None,
-    console: Annotated[bool, typer.Option(help="Log for people, not as JSON lines.")] = False,
-    verbose: Annotated[bool, typer.Option(help="A line for each step of each call.")] = False,
+    console: Annotated[bool, typer.Option(help="Log as readable text in place of JSON lines.")] = False,
+    verbose: Annotated[bool, typer.Option(help="Log each step of each call.")] = False,
 ) -> None:
-    """Run a call server until SIGTERM, then answer all, drain and exit."""
-    told = load_settings(settings)
-    process.serve(told, logger(console, verbose), capture, verbose, lambda: load_settings(settings))
+    """Run a call server until SIGTERM; then answer the pending calls, drain and exit."""
+    loaded = load_settings(settings)
+    process.serve(loaded, logger(console, verbose), capture, verbose, lambda: load_settings(settings))
--- a/eiderstep/cli/size.py
+++ b/eiderstep/cli/size.py
@@ -21,32 +21,36 @@
     from eiderstep.sizing.summary import Group, Wanted
 
 app = typer.Typer(
-    no_args_is_help=True, help="Is a trunk group too small, and how many circuits does it need?"
+    no_args_is_help=True, help="Tell whether a trunk group is too small and how many circuits it needs."
 )
 Settings = Annotated[Path, typer.Argument(help="The settings, a Starlark script with sizing(...).")]
-Days = Annotated[float, typer.Option(help="Only the last so many days of measurements; 0 for all.")]
-Busy = Annotated[
-    bool, typer.Option("--busy-hour", help="For the busiest hour of the day instead of all hours.")
+Days = Annotated[float, typer.Option(help="Use only this many last days of measurements; 0: all.")]
+BusyHourOption = Annotated[
+    bool, typer.Option("--busy-hour", help="Size for the busiest hour of the day, not for all hours.")
 ]
-Json = Annotated[bool, typer.Option("--json", help="The same as JSON.")]
-WIDE = 160  # columns, where the output is no terminal
-HOUR = 3600 * 1_000_000_000
+JsonOption = Annotated[bool, typer.Option("--json", help="Print the result as JSON.")]
+NON_TERMINAL_WIDTH = 160  # columns, where the output is not a terminal
+HOUR_NS = 3600 * 1_000_000_000
 
 
-def _read(path: Path, days: float, busy: bool, only: int | None = None) -> tuple[Wanted, dict[int, Group]]:
-    # Here, not at the top: a call server starts without the numbers libraries, and need not have them.
+def _summarize_groups(
+    path: Path, days: float, busy_hour: bool, only_group: int | None = None
+) -> tuple[Wanted, dict[int, Group]]:
+    # Imported here, so that a call server starts without numpy and scipy, which need not be installed there.
     from eiderstep.sizing import summary
 
     settings = load_settings(path)
     sizing = settings.sizing
     if sizing is None:
-        raise typer.BadParameter(f"{path} measures nothing; allowed: settings with sizing(store = ...)")
+        raise typer.BadParameter(
+            f"{path} has no sizing(...), so nothing is measured; allowed: settings with sizing(store = ...)"
+        )
     if not Path(sizing.store).is_file():
         raise typer.BadParameter(f"sizing.store: found {sizing.store!r}, no file; has the call server run?")
-    names = [c.name for c in settings.classes]
+    class_names = [c.name for c in settings.classes]
     wanted = summary.Wanted(
-        names, [c.width for c in settings.classes], [sizing.targets.get(n, sizing.target) for n in names],
-        sizing.module, sizing.price,
+        class_names, [c.width for c in settings.classes],
+        [sizing.targets.get(name, sizing.target) for name in class_names], sizing.module, sizing.price,
     )  # fmt: skip
     try:
         store = Store(Path(sizing.store), read_only=True)
@@ -55,20 +59,20 @@
     groups = {}
     with contextlib.closing(store):
         numbers = store.groups()
-        if only is not None and only not in numbers:
+        if only_group is not None and only_group not in numbers:
             raise typer.BadParameter(
-                f"found group {only}; allowed: {', '.join(map(str, numbers)) or 'none yet'}"
+                f"found group {only_group}; allowed: {', '.join(map(str, numbers)) or 'none yet'}"
             )
-        for number in numbers if only is None else [only]:
+        for number in numbers if only_group is None else [only_group]:
             buckets = store.buckets(number)
             if days and buckets:
-                since = buckets[-1].start + buckets[-1].length - int(days * 24 * HOUR)
+                since = buckets[-1].start + buckets[-1].length - int(days * 24 * HOUR_NS)
                 buckets = [b for b in buckets if b.start >= since]
-            groups[number] = summary.summarize(number, buckets, wanted, busy)
+            groups[number] = summary.summarize(number, buckets, wanted, busy_hour)
     return wanted, groups
 
 
-def _holds(path: Path) -> dict[tuple[int, int], HdrHistogram]:
+def _read_holding_times(path: Path) -> dict[tuple[int, int], HdrHistogram]:
     sizing = load_settings(path).sizing
     assert sizing is not None
     with contextlib.closing(Store(Path(sizing.store), read_only=True)) as store:
@@ -82,13 +86,15 @@
     for row in rows:
         table.add_row(*row)
     console = Console()
-    Console(width=console.width if console.is_terminal else WIDE).print(table)
+    Console(width=console.width if console.is_terminal else NON_TERMINAL_WIDTH).print(table)
 
 
 @app.command()
-def measure(settings: Settings, days: Days = 0.0, busy_hour: Busy = False, as_json: Json = False) -> None:
-    """What was measured of each group: loads with intervals, blocking measured and expected."""
-    wanted, groups = _read(settings, days, busy_hour)
+def measure(
+    settings: Settings, days: Days = 0.0, busy_hour: BusyHourOption = False, as_json: JsonOption = False
+) -> None:
+    """Show what was measured of each group: loads with intervals, blocking measured and expected."""
+    wanted, groups = _summarize_groups(settings, days, busy_hour)
     if as_json:
         _print_json(wanted, groups)
         return
@@ -97,12 +103,12 @@
         for c, name in enumerate(wanted.classes):
             load = group.judgement.loads[c]
             low, middle, high = group.judgement.expected[c]
-            seen = group.judgement.measured[c]
-            lost = "-" if seen is None else f"{seen:.4f}"
-            erlangs = f"{load.load:.2f} ({load.low:.2f} to {load.high:.2f})"
+            blocking = group.judgement.measured[c]
+            blocking_text = "-" if blocking is None else f"{blocking:.4f}"
+            load_text = f"{load.load:.2f} ({load.low:.2f} to {load.high:.2f})"
             rows.append([
                 str(group.number), str(group.circuits), f"{group.hours:.1f}", f"{100 * group.censored:.0f}%",
-                name, str(load.seen), erlangs, f"{load.hold:.1f}", lost,
+                name, str(load.seen), load_text, f"{load.hold:.1f}", blocking_text,
                 f"{middle:.4f} ({low:.4f} to {high:.4f})",
             ])  # fmt: skip
     _table(
@@ -124,56 +130,66 @@
 
 
 @app.command()
-def recommend(settings: Settings, days: Days = 0.0, busy_hour: Busy = False, as_json: Json = False) -> None:
-    """The verdict on each group and how many circuits it needs."""
-    wanted, groups = _read(settings, days, busy_hour)
+def recommend(
+    settings: Settings, days: Days = 0.0, busy_hour: BusyHourOption = False, as_json: JsonOption = False
+) -> None:
+    """Show the verdict on each group and how many circuits it needs."""
+    wanted, groups = _summarize_groups(settings, days, busy_hour)
     if as_json:
         _print_json(wanted, groups)
         return
     rows = []
     for group in groups.values():
-        found, a = group.judgement, group.advice
-        more = f", {found.hours_more:.1f} h more" if found.hours_more is not None else ""
-        advised = ["-"] * 3 if a is None else [
-            f"{a.circuits} ({a.low} to {a.high})", f"{a.cost:+g}",
-            f"{a.overflow_now:.2f} -> {a.overflow_then:.2f}",
+        judgement, advice = group.judgement, group.advice
+        more_hours = f", {judgement.hours_more:.1f} h more" if judgement.hours_more is not None else ""
+        advice_cells = ["-"] * 3 if advice is None else [
+            f"{advice.circuits} ({advice.low} to {advice.high})", f"{advice.cost:+g}",
+            f"{advice.overflow_now:.2f} -> {advice.overflow_then:.2f}",
         ]  # fmt: skip
-        rows.append([str(group.number), str(group.circuits), found.verdict.value + more, *advised, found.why])
+        rows.append(
+            [
+                str(group.number),
+                str(group.circuits),
+                judgement.verdict.value + more_hours,
+                *advice_cells,
+                judgement.why,
+            ]
+        )
     _table("advised", ["toward", "circuits", "verdict", "advised", "cost", "overflow, erlangs", "why"], rows)
 
 
 @app.command()
 def explain(
     settings: Settings, group: Annotated[int, typer.Argument(help="The exchange that the group leads to.")],
-    days: Days = 0.0, busy_hour: Busy = False,
+    days: Days = 0.0, busy_hour: BusyHourOption = False,
 ) -> None:  # fmt: skip
-    """The way from the counts to the verdict on one group."""
+    """Show step by step how the verdict on one group follows from its counts."""
     from eiderstep.sizing import summary
 
-    wanted, groups = _read(settings, days, busy_hour, group)
-    holds = _holds(settings)
+    wanted, groups = _summarize_groups(settings, days, busy_hour, group)
+    holding_times = _read_holding_times(settings)
     print("\n".join(summary.explain(groups[group], wanted)))
     for c, name in enumerate(wanted.classes):
-        held = holds.get((group, c))
-        if held is not None:
-            p50, p90, p99 = (held.get_value_at_percentile(p) / 1000 for p in (50, 90, 99))
+        histogram = holding_times.get((group, c))
+        if histogram is not None:
+            p50, p90, p99 = (histogram.get_value_at_percentile(p) / 1000 for p in (50, 90, 99))
             print(f"class {name}: calls stood {p50:.1f} s at p50, {p90:.1f} s at p90, {p99:.1f} s at p99")
 
 
 @app.command("what-if")
 def what_if(
     settings: Settings, group: Annotated[int, typer.Argument(help="The exchange that the group leads to.")],
-    circuits: Annotated[int, typer.Argument(min=0, max=20_000, help="A size to try.")],
-    factor: Annotated[float, typer.Option(min=0.0, max=100.0, help="The load times this.")] = 1.0,
-    days: Days = 0.0, busy_hour: Busy = False,
+    circuits: Annotated[int, typer.Argument(min=0, max=20_000, help="Number of circuits to try.")],
+    factor: Annotated[float, typer.Option(min=0.0, max=100.0, help="Multiply the load by this.")] = 1.0,
+    days: Days = 0.0, busy_hour: BusyHourOption = False,
 ) -> None:  # fmt: skip
-    """What each class would lose with another size, or another load."""
+    """Show the blocking of each class with another size or another load."""
     from eiderstep.sizing import summary
 
-    wanted, groups = _read(settings, days, busy_hour, group)
-    held = summary.scaled(groups[group], factor)
+    wanted, groups = _summarize_groups(settings, days, busy_hour, group)
+    scaled = summary.scaled(groups[group], factor)
     rows = []
-    for size, low, middle, high in summary.curve(held, wanted, sorted({held.circuits, circuits})):
+    for size, low, middle, high in summary.curve(scaled, wanted, sorted({scaled.circuits, circuits})):
         for c, name in enumerate(wanted.classes):
             rows.append(
                 [
@@ -188,24 +204,27 @@
 
 @app.command()
 def report(
-    settings: Settings, out: Annotated[Path, typer.Option(help="The page to write.")], days: Days = 0.0,
-    busy_hour: Busy = False,
+    settings: Settings, out: Annotated[Path, typer.Option(help="The HTML file to write.")], days: Days = 0.0,
+    busy_hour: BusyHourOption = False,
 ) -> None:  # fmt: skip
-    """A page with tables, the blocking measured against the curve, and the traffic by hour."""
-    from eiderstep.sizing import report as pages
+    """Write an HTML page with tables, blocking measured against the curve, and traffic by hour."""
+    from eiderstep.sizing import report as html_report
 
-    wanted, groups = _read(settings, days, busy_hour)
-    out.write_text(pages.page(load_settings(settings).number, groups, wanted), encoding="utf-8")
+    wanted, groups = _summarize_groups(settings, days, busy_hour)
+    out.write_text(html_report.page(load_settings(settings).number, groups, wanted), encoding="utf-8")
     print(f"{out}: {len(groups)} groups")
 
 
 @app.command()
 def prove(
-    out: Annotated[Path | None, typer.Option(help="Write the page here as well.")] = None,
-    processes: Annotated[int, typer.Option(min=1, max=256, help="Processes.")] = 7,
-    example: Annotated[Path | None, typer.Option(help="Write an example report here, and no more.")] = None,
+    out: Annotated[Path | None, typer.Option(help="Also write the page to this file.")] = None,
+    processes: Annotated[int, typer.Option(min=1, max=256, help="Processes that run at once.")] = 7,
+    example: Annotated[Path | None, typer.Option(help="Only write an example report to this file.")] = None,
 ) -> None:
-    """Known loads measured, sized and measured again in virtual time; minutes.  Exit 1 where one fails."""
+    """Measure known loads, apply the advice and measure again, in virtual time.  Exit 1 if one fails.
+
+    Takes minutes.
+    """
     from eiderstep.lab import trials
 
     if example is not None:
@@ -219,25 +238,25 @@
 
 
 def _print_json(wanted: Wanted, groups: dict[int, Group]) -> None:
-    print(json.dumps([_plain(wanted, group) for group in groups.values()]))
+    print(json.dumps([_group_as_json(wanted, group) for group in groups.values()]))
 
 
-def _plain(wanted: Wanted, group: Group) -> dict[str, Any]:
-    found, a = group.judgement, group.advice
+def _group_as_json(wanted: Wanted, group: Group) -> dict[str, Any]:
+    judgement, advice = group.judgement, group.advice
     return {
         "toward": group.number, "circuits": group.circuits, "hours": group.hours, "censored": group.censored,
-        "occupancy": group.occupancy, "verdict": found.verdict.value, "why": found.why,
-        "hours_more": found.hours_more, "peakedness": group.peaked, "busy_hour": group.busy_hour,
+        "occupancy": group.occupancy, "verdict": judgement.verdict.value, "why": judgement.why,
+        "hours_more": judgement.hours_more, "peakedness": group.peaked, "busy_hour": group.busy_hour,
         "classes": [
             {
-                "class": name, "erlangs": x.load, "low": x.low, "high": x.high, "hold": x.hold,
-                "first_tries": x.seen,
-                "lost": found.measured[c], "expected": found.expected[c][1], "target": wanted.targets[c],
+                "class": name, "erlangs": load.load, "low": load.low, "high": load.high, "hold": load.hold,
+                "first_tries": load.seen, "lost": judgement.measured[c],
+                "expected": judgement.expected[c][1], "target": wanted.targets[c],
             }
-            for c, (name, x) in enumerate(zip(wanted.classes, found.loads, strict=True))
+            for c, (name, load) in enumerate(zip(wanted.classes, judgement.loads, strict=True))
         ],
-        "advised": None if a is None else {
-            "circuits": a.circuits, "low": a.low, "high": a.high, "cost": a.cost,
-            "overflow_now": a.overflow_now, "overflow_then": a.overflow_then,
+        "advised": None if advice is None else {
+            "circuits": advice.circuits, "low": advice.low, "high": advice.high, "cost": advice.cost,
+            "overflow_now": advice.overflow_now, "overflow_then": advice.overflow_then,
         },
     }  # fmt: skip
--- a/eiderstep/cli/trace.py
+++ b/eiderstep/cli/trace.py
@@ -10,23 +10,23 @@
 
 def trace(
     call: Annotated[
-        str, typer.Argument(help="A Session-ID or its beginning, a Call-ID, or a number called.")
+        str, typer.Argument(help="A Session-ID or a prefix of one, a Call-ID, or a called number.")
     ],
-    capture: Annotated[list[Path], typer.Option(help="Captures, of one server or several.")],
-    spans: Annotated[Path | None, typer.Option(help="Write the spans of all calls here.")] = None,
+    capture: Annotated[list[Path], typer.Option(help="Capture file; may be repeated, one for each server.")],
+    spans: Annotated[Path | None, typer.Option(help="Write the spans of all calls to this file.")] = None,
 ) -> None:
-    """Show a call's path through call servers as a ladder."""
+    """Show a call's path through the call servers as a ladder diagram."""
     from eiderstep.audit import Capture
     from eiderstep.lab import traces
 
     try:
-        found = traces.paths(Capture.merged([Capture.read(path) for path in capture]))
+        paths = traces.paths(Capture.merged([Capture.read(file) for file in capture]))
     except (OSError, ValueError) as problem:
         raise typer.BadParameter(str(problem), param_hint="--capture") from None
     try:
-        one = traces.chosen(found, call)
+        chosen = traces.chosen(paths, call)
     except ValueError as problem:
         raise typer.BadParameter(str(problem), param_hint="CALL") from None
-    print(traces.ladder(one))
+    print(traces.ladder(chosen))
     if spans is not None:
-        print(f"{traces.write_spans(found.values(), spans)} spans of {len(found)} calls in {spans}")
+        print(f"{traces.write_spans(paths.values(), spans)} spans of {len(paths)} calls in {spans}")
