--- a/eiderstep/cli/day.py
+++ b/eiderstep/cli/day.py
@@ -101,7 +101,7 @@
             f"  circuits whose state differed between the two ends: {len(summary['circuit_faults'])}"
         )
     if summary["fell"]:
-        lines.append(f"  overloaded while cold: exchanges {summary['fell']}")
+        lines.append(f"  crashed from overload while cold: exchanges {summary['fell']}")
     lines += [f"  error: {text}" for text in summary["errors"]]
     lines += [f"  BROKEN: {text}" for text in summary["breaches"][:20]]
     lines.append("  all rules kept" if not summary["breaches"] else f"  {len(summary['breaches'])} breaches")
--- a/eiderstep/cli/size.py
+++ b/eiderstep/cli/size.py
@@ -18,7 +18,7 @@
 from eiderstep.sizing.store import Store
 
 if TYPE_CHECKING:
-    from eiderstep.sizing.summary import Group, Wanted
+    from eiderstep.sizing.summary import GroupSummary, Wanted
 
 app = typer.Typer(
     no_args_is_help=True, help="Tell whether a trunk group is too small and how many circuits it needs."
@@ -30,12 +30,12 @@
 ]
 JsonOption = Annotated[bool, typer.Option("--json", help="Print the result as JSON.")]
 NON_TERMINAL_WIDTH = 160  # columns, where the output is not a terminal
-HOUR_NS = 3600 * 1_000_000_000
+HOUR = 3600 * 1_000_000_000  # ns
 
 
 def _summarize_groups(
     path: Path, days: float, busy_hour: bool, only_group: int | None = None
-) -> tuple[Wanted, dict[int, Group]]:
+) -> tuple[Wanted, dict[int, GroupSummary]]:
     # Imported here, so that a call server starts without numpy and scipy, which need not be installed there.
     from eiderstep.sizing import summary
 
@@ -66,7 +66,7 @@
         for number in numbers if only_group is None else [only_group]:
             buckets = store.buckets(number)
             if days and buckets:
-                since = buckets[-1].start + buckets[-1].length - int(days * 24 * HOUR_NS)
+                since = buckets[-1].start + buckets[-1].length - int(days * 24 * HOUR)
                 buckets = [b for b in buckets if b.start >= since]
             groups[number] = summary.summarize(number, buckets, wanted, busy_hour)
     return wanted, groups
@@ -107,8 +107,9 @@
             blocking_text = "-" if blocking is None else f"{blocking:.4f}"
             load_text = f"{load.load:.2f} ({load.low:.2f} to {load.high:.2f})"
             rows.append([
-                str(group.number), str(group.circuits), f"{group.hours:.1f}", f"{100 * group.censored:.0f}%",
-                name, str(load.seen), load_text, f"{load.hold:.1f}", blocking_text,
+                str(group.number), str(group.circuits), f"{group.hours:.1f}",
+                f"{100 * group.censored_share:.0f}%", name, str(load.first_tries), load_text,
+                f"{load.hold:.1f}", blocking_text,
                 f"{middle:.4f} ({low:.4f} to {high:.4f})",
             ])  # fmt: skip
     _table(
@@ -187,9 +188,11 @@
     from eiderstep.sizing import summary
 
     wanted, groups = _summarize_groups(settings, days, busy_hour, group)
-    scaled = summary.scaled(groups[group], factor)
+    scaled = summary.scale_load(groups[group], factor)
     rows = []
-    for size, low, middle, high in summary.curve(scaled, wanted, sorted({scaled.circuits, circuits})):
+    for size, low, middle, high in summary.blocking_curves(
+        scaled, wanted, sorted({scaled.circuits, circuits})
+    ):
         for c, name in enumerate(wanted.classes):
             rows.append(
                 [
@@ -237,20 +240,21 @@
     sys.exit(0 if good else 1)
 
 
-def _print_json(wanted: Wanted, groups: dict[int, Group]) -> None:
+def _print_json(wanted: Wanted, groups: dict[int, GroupSummary]) -> None:
     print(json.dumps([_group_as_json(wanted, group) for group in groups.values()]))
 
 
-def _group_as_json(wanted: Wanted, group: Group) -> dict[str, Any]:
+def _group_as_json(wanted: Wanted, group: GroupSummary) -> dict[str, Any]:
     judgement, advice = group.judgement, group.advice
     return {
-        "toward": group.number, "circuits": group.circuits, "hours": group.hours, "censored": group.censored,
-        "occupancy": group.occupancy, "verdict": judgement.verdict.value, "why": judgement.why,
-        "hours_more": judgement.hours_more, "peakedness": group.peaked, "busy_hour": group.busy_hour,
+        "toward": group.number, "circuits": group.circuits, "hours": group.hours,
+        "censored": group.censored_share, "occupancy": group.occupancy,
+        "verdict": judgement.verdict.value, "why": judgement.why, "hours_more": judgement.hours_more,
+        "peakedness": group.peakedness, "busy_hour": group.busy_hour,
         "classes": [
             {
                 "class": name, "erlangs": load.load, "low": load.low, "high": load.high, "hold": load.hold,
-                "first_tries": load.seen, "lost": judgement.measured[c],
+                "first_tries": load.first_tries, "lost": judgement.measured[c],
                 "expected": judgement.expected[c][1], "target": wanted.targets[c],
             }
             for c, (name, load) in enumerate(zip(wanted.classes, judgement.loads, strict=True))
--- a/eiderstep/sizing/meter.py
+++ b/eiderstep/sizing/meter.py
@@ -1,7 +1,7 @@
-"""What a call server measures of its trunk groups, in buckets of time.  No I/O; imports no numbers library.
+"""Measures the trunk groups of a call server in buckets of time; no I/O, no import of numpy or scipy.
 
-Only the open bucket of each group is in memory, and a bounded list of numbers that were refused of late.
-Times are integer ns of the caller's clock; the wall clock comes in with `roll`.
+Memory holds only the open bucket of each group and a bounded list of recently refused numbers.  Times are
+integer ns of the caller's clock; `roll` also takes the wall clock.
 """
 
 from __future__ import annotations
@@ -14,198 +14,209 @@
 
 from eiderstep.sizing.bucket import Bucket, Counts
 
-REMEMBERED = 10_000  # refused numbers, to know a redial by
-HOLD_MOST = 86_400_000  # ms that a holding time is recorded up to
-MS, SECOND = 1_000_000, 1_000_000_000
+MAX_REFUSED_NUMBERS = 10_000  # kept to recognise redials
+MAX_HOLD_MS = 86_400_000  # longer holding times are recorded as this
+MS, SECOND = 1_000_000, 1_000_000_000  # ns
 
 
-class _Class:
-    """One class's open counts."""
+class _ClassCounts:
+    """Counts of one class in the open bucket."""
 
     __slots__ = (
         "blocked_first", "blocked_redials", "first", "for_others", "held", "hold", "hold_squared",
-        "now", "overflowed", "redials", "refused", "standing",
+        "standing_calls", "overflowed", "redials", "refused", "standing",
     )  # fmt: skip
 
-    def __init__(self, now: int = 0) -> None:
-        self.now = now  # calls that stand
+    def __init__(self, standing_calls: int = 0) -> None:
+        self.standing_calls = standing_calls
         self.first = self.redials = self.blocked_first = self.blocked_redials = self.refused = 0
         self.overflowed = self.for_others = self.held = self.hold = self.standing = 0
         self.hold_squared = 0.0
 
-    def counts(self) -> Counts:
-        return Counts(**{name: getattr(self, name) for name in self.__slots__ if name != "now"})
+    def as_counts(self) -> Counts:
+        return Counts(**{name: getattr(self, name) for name in self.__slots__ if name != "standing_calls"})
 
 
-class _Group:
-    """One group's open bucket and where it stands."""
+class _GroupState:
+    """The open bucket of one group and the group's present state."""
 
     def __init__(self, circuits: int, classes: int, now: int) -> None:
         self.circuits = self.in_service = circuits
         self.busy = 0
         self.linked = True
-        self.at = now
-        self.holds = [HdrHistogram(1, HOLD_MOST, 2) for _ in range(classes)]
-        self.classes = [_Class() for _ in range(classes)]
-        self.fresh()
-
-    def fresh(self) -> None:
-        self.busy_time = self.service_time = self.out = self.full = 0
-        self.classes = [_Class(old.now) for old in self.classes]
-
-    def run(self, now: int) -> None:
-        """Account for the time since the last change."""
-        span = now - self.at
+        self.advanced_to = now
+        self.hold_histograms = [HdrHistogram(1, MAX_HOLD_MS, 2) for _ in range(classes)]
+        self.classes = [_ClassCounts() for _ in range(classes)]
+        self.reset_bucket()
+
+    def reset_bucket(self) -> None:
+        """Begin an empty bucket; standing calls are carried over."""
+        self.busy_time = self.service_time = self.out_time = self.full_time = 0
+        self.classes = [_ClassCounts(previous.standing_calls) for previous in self.classes]
+
+    def advance(self, now: int) -> None:
+        """Add the time since the last change to the integrals of the bucket."""
+        span = now - self.advanced_to
         if span <= 0:
             return
-        self.at = now
+        self.advanced_to = now
         self.busy_time += span * self.busy
         self.service_time += span * self.in_service
-        for counts in self.classes:
-            counts.standing += span * counts.now
+        for class_counts in self.classes:
+            class_counts.standing += span * class_counts.standing_calls
         if not self.linked:
-            self.out += span
+            self.out_time += span
         elif self.busy >= self.in_service:
-            self.full += span
+            self.full_time += span
 
 
 class Meter:
-    """All groups of one call server.  `groups`: peers and the circuits toward each."""
+    """Measurements of all groups of one call server."""
 
-    def __init__(self, groups: Mapping[int, int], classes: int, now: int, window: int = 60 * SECOND) -> None:
-        """`window`: a try for a number refused no longer ago than this is a redial (ns)."""
-        self.window = window
-        self.groups = {number: _Group(size, classes, now) for number, size in groups.items()}
+    def __init__(
+        self, groups: Mapping[int, int], classes: int, now: int, redial_window: int = 60 * SECOND
+    ) -> None:
+        """`groups` maps each peer's number to the circuits toward it; `classes`: number of call classes.
+
+        A try for a number that was refused at most `redial_window` ns ago is taken for a redial.
+        """
+        self.redial_window = redial_window
+        self.groups = {number: _GroupState(circuits, classes, now) for number, circuits in groups.items()}
         self.refused_at: OrderedDict[tuple[str, int], int] = OrderedDict()
-        self.opened = now
-
-    def tried(self, now: int, group: int, cls: int, number: str, told: bool) -> bool:
-        """A call came; returns whether it is a redial, as told by its caller or known by its number."""
-        held = self.groups.get(group)
-        redial = told
-        if number and not told:
-            at = self.refused_at.pop((number, cls), None)
-            redial = at is not None and now - at <= self.window
-        if held is not None:
-            counts = held.classes[cls]
+        self.bucket_start = now
+
+    def tried(self, now: int, group: int, cls: int, number: str, marked_redial: bool) -> bool:
+        """Count a call that arrived for a group; return whether it is a redial.
+
+        A redial is marked as such by its caller, or recognised by its number, which was refused recently.
+        """
+        state = self.groups.get(group)
+        redial = marked_redial
+        if number and not marked_redial:
+            refused_at = self.refused_at.pop((number, cls), None)
+            redial = refused_at is not None and now - refused_at <= self.redial_window
+        if state is not None:
+            class_counts = state.classes[cls]
             if redial:
-                counts.redials += 1
+                class_counts.redials += 1
             else:
-                counts.first += 1
+                class_counts.first += 1
         return redial
 
     def blocked(self, group: int, cls: int, redial: bool, overflowed: bool) -> None:
-        """It found too few circuits free on its own group; `overflowed`: it was sent to an alternate."""
-        held = self.groups.get(group)
-        if held is not None:
-            counts = held.classes[cls]
+        """Count a call that found too few circuits free; `overflowed`: it was sent to an alternate."""
+        state = self.groups.get(group)
+        if state is not None:
+            class_counts = state.classes[cls]
             if redial:
-                counts.blocked_redials += 1
+                class_counts.blocked_redials += 1
             else:
-                counts.blocked_first += 1
-            counts.overflowed += overflowed
+                class_counts.blocked_first += 1
+            class_counts.overflowed += overflowed
 
     def refused(self, group: int, cls: int) -> None:
-        """It was turned away for another cause than circuits."""
-        held = self.groups.get(group)
-        if held is not None:
-            held.classes[cls].refused += 1
+        """Count a call that was turned away for a cause other than circuits."""
+        state = self.groups.get(group)
+        if state is not None:
+            state.classes[cls].refused += 1
 
     def gave_up(self, now: int, cls: int, number: str) -> None:
-        """Its caller got no call; what comes for that number soon is a redial."""
+        """Remember the number of a call that was not set up, to recognise a redial of it."""
         if number:
             self.refused_at[number, cls] = now
-            while len(self.refused_at) > REMEMBERED:
+            while len(self.refused_at) > MAX_REFUSED_NUMBERS:
                 self.refused_at.popitem(last=False)
 
     def for_other(self, group: int, cls: int) -> None:
-        """A call of another pair takes this group."""
-        held = self.groups.get(group)
-        if held is not None:
-            held.classes[cls].for_others += 1
+        """Count a call of another exchange pair that uses this group."""
+        state = self.groups.get(group)
+        if state is not None:
+            state.classes[cls].for_others += 1
 
     def stands(self, now: int, group: int, cls: int) -> None:
-        """A call for that exchange stands, by whatever way it went."""
-        held = self.groups.get(group)
-        if held is not None:
-            held.run(now)
-            held.classes[cls].now += 1
+        """Count a call to that exchange that now stands, over whichever route."""
+        state = self.groups.get(group)
+        if state is not None:
+            state.advance(now)
+            state.classes[cls].standing_calls += 1
 
     def ended(self, now: int, group: int, cls: int, hold: int) -> None:
-        """One of those has ended."""
-        held = self.groups.get(group)
-        if held is not None:
-            held.run(now)
-            counts = held.classes[cls]
-            counts.now = max(counts.now - 1, 0)
-            counts.held += 1
-            counts.hold += hold
-            counts.hold_squared += (hold / SECOND) ** 2
-            held.holds[cls].record_value(min(max(hold // MS, 1), HOLD_MOST))
+        """Record the end of a call counted by `stands`, with its holding time (ns)."""
+        state = self.groups.get(group)
+        if state is not None:
+            state.advance(now)
+            class_counts = state.classes[cls]
+            class_counts.standing_calls = max(class_counts.standing_calls - 1, 0)
+            class_counts.held += 1
+            class_counts.hold += hold
+            class_counts.hold_squared += (hold / SECOND) ** 2
+            state.hold_histograms[cls].record_value(min(max(hold // MS, 1), MAX_HOLD_MS))
 
     def level(self, now: int, group: int, busy: int, in_service: int) -> None:
-        """Circuits busy and in service from now on."""
-        held = self.groups.get(group)
-        if held is not None:
-            held.run(now)
-            held.busy, held.in_service = busy, in_service
+        """Set the numbers of circuits busy and in service from `now` on."""
+        state = self.groups.get(group)
+        if state is not None:
+            state.advance(now)
+            state.busy, state.in_service = busy, in_service
 
     def resized(self, now: int, group: int, circuits: int) -> None:
-        """The group has that many circuits from now on."""
-        held = self.groups.get(group)
-        if held is not None:
-            held.run(now)
-            held.circuits = circuits
+        """Set the number of circuits of the group from `now` on."""
+        state = self.groups.get(group)
+        if state is not None:
+            state.advance(now)
+            state.circuits = circuits
 
     def link(self, now: int, group: int, up: bool) -> None:
-        """Whether the far exchange is reached at all."""
-        held = self.groups.get(group)
-        if held is not None:
-            held.run(now)
-            held.linked = up
+        """Set whether there is a link to the far exchange from `now` on."""
+        state = self.groups.get(group)
+        if state is not None:
+            state.advance(now)
+            state.linked = up
 
     def roll(self, now: int, epoch: int) -> Iterable[tuple[int, Bucket]]:
-        """Close the open buckets; `epoch`: the wall clock at `now` (ns since 1970)."""
-        length = now - self.opened
+        """Close and return the open buckets; `epoch`: the wall clock at `now` (ns since 1970)."""
+        length = now - self.bucket_start
         if length <= 0:
             return []
-        closed = []
-        for number, held in self.groups.items():
-            held.run(now)
-            closed.append((
+        closed_buckets = []
+        for number, state in self.groups.items():
+            state.advance(now)
+            closed_buckets.append((
                 number,
                 Bucket(
-                    epoch - length, length, held.circuits, held.busy_time, held.service_time,
-                    held.out, held.full,
-                    tuple(counts.counts() for counts in held.classes),
+                    epoch - length, length, state.circuits, state.busy_time, state.service_time,
+                    state.out_time, state.full_time,
+                    tuple(class_counts.as_counts() for class_counts in state.classes),
                 ),
             ))  # fmt: skip
-            held.fresh()
-        self.opened = now
-        while self.refused_at:  # what is past the window is no use
-            first = next(iter(self.refused_at))
-            if now - self.refused_at[first] <= self.window:
+            state.reset_bucket()
+        self.bucket_start = now
+        while self.refused_at:  # drop numbers that are past the redial window
+            oldest = next(iter(self.refused_at))
+            if now - self.refused_at[oldest] <= self.redial_window:
                 break
-            del self.refused_at[first]
-        return closed
+            del self.refused_at[oldest]
+        return closed_buckets
 
-    def holds(self, group: int, cls: int) -> HdrHistogram:
-        """Holding times (ms), to two digits."""
-        return self.groups[group].holds[cls]
+    def holding_times(self, group: int, cls: int) -> HdrHistogram:
+        """Histogram of holding times in ms, to two significant digits."""
+        return self.groups[group].hold_histograms[cls]
 
     def encoded(self) -> dict[tuple[int, int], bytes]:
-        """All of them that hold anything, as they are stored."""
+        """The non-empty holding-time histograms by group and class, encoded as they are stored."""
         return {
-            (number, c): found.encode()
-            for number, held in self.groups.items()
-            for c, found in enumerate(held.holds)
-            if found.get_total_count()
+            (number, cls): histogram.encode()
+            for number, state in self.groups.items()
+            for cls, histogram in enumerate(state.hold_histograms)
+            if histogram.get_total_count()
         }
 
     def resume(self, encoded: Mapping[tuple[int, int], bytes]) -> None:
-        """Go on from holding times stored before a restart; what cannot be read is left out."""
-        for (number, cls), data in encoded.items():
-            held = self.groups.get(number)
-            if held is not None and cls < len(held.holds):
-                with contextlib.suppress(Exception):  # the library raises whatever its decoder meets
-                    held.holds[cls].add(HdrHistogram.decode(data))
+        """Add holding times stored before a restart; histograms that cannot be decoded are skipped."""
+        for (number, cls), histogram_bytes in encoded.items():
+            state = self.groups.get(number)
+            if state is not None and cls < len(state.hold_histograms):
+                with contextlib.suppress(
+                    Exception
+                ):  # the decoder raises exceptions of many types on damaged data
+                    state.hold_histograms[cls].add(HdrHistogram.decode(histogram_bytes))
--- a/eiderstep/sizing/network.py
+++ b/eiderstep/sizing/network.py
@@ -1,10 +1,11 @@
-"""Erlang's fixed point over a network with alternates and trunk reservation, and sizes for the whole of it.
-
-Each group is offered its pair's calls and, with `reserve` circuits left free, overflow of other pairs that
-come over one tandem, any at random (Kelly 1986; Katz 1967; reservation after Krupp 1982).  Groups are taken
-as independent and overflow as Poisson: good where there are many alternates with little each, too low where
-one alternate carries most of a pair.  Without reservation the point need not be unique; the one reached
-from an empty network is given.
+"""Erlang fixed point of a network with alternate routing and trunk reservation, and sizing of its groups.
+
+Each group is offered the calls of its own pair and overflow calls of other pairs, which must leave `reserve`
+circuits free.  An overflow call takes one tandem, chosen at random (Kelly 1986; Katz 1967; reservation after
+Krupp 1982).  Groups are treated as independent and overflow as Poisson traffic.  This is accurate if a pair
+has many alternates with little traffic each; it underestimates the blocking if one alternate carries most of
+a pair.  Without reservation the fixed point need not be unique; the one reached from an empty network is
+used.
 """
 
 from __future__ import annotations
@@ -19,18 +20,24 @@
 
 Pair = tuple[int, int]
 Array = npt.NDArray[np.float64]
-ROUNDS = 400
-DAMPING = 0.6
-SETTLED = 1e-9
+MAX_ITERATIONS = 400
+DAMPING = 0.6  # share of each computed step that is taken
+CONVERGENCE_TOLERANCE = 1e-9  # largest change of a blocking probability in the last step
 
 
 def pair(one: int, other: int) -> Pair:
+    """The key of two exchanges, the lower number first."""
     return (one, other) if one < other else (other, one)
 
 
 @dataclass(frozen=True)
 class Network:
-    """`loads`: erlangs of calls by class for each pair, both directions together.  `circuits`: groups."""
+    """A network of exchanges.
+
+    `loads`: erlangs of calls by class for each pair, both directions together.  `circuits`: the size of each
+    group, by pair.  `reserve`: circuits that overflow calls must leave free.  `alternates`: whether a blocked
+    call may go over a tandem.
+    """
 
     nodes: Sequence[int]
     widths: Sequence[int]
@@ -39,218 +46,253 @@
     reserve: int = 2
     alternates: bool = True
 
-    def tandems(self, of: Pair) -> list[int]:
-        """Who has groups to both."""
-        one, other = of
+    def tandems(self, ends: Pair) -> list[int]:
+        """Exchanges with groups to both ends of the pair."""
+        one, other = ends
         return [
-            k for k in self.nodes
-            if k not in of and self.circuits.get(pair(one, k), 0) and self.circuits.get(pair(k, other), 0)
+            node for node in self.nodes
+            if node not in ends
+            and self.circuits.get(pair(one, node), 0) and self.circuits.get(pair(node, other), 0)
         ]  # fmt: skip
 
 
 @dataclass
-class Point:
-    """The fixed point: by pair and class the share of calls that find no way, and of each group its
-    losses."""
+class FixedPoint:
+    """The solution: `lost` is the share of calls that find no route, by pair and class.
+
+    `direct` and `overflow` are the blocking of direct and of overflow calls, by group and class.
+    """
 
     lost: dict[Pair, list[float]] = field(default_factory=dict)
     direct: dict[Pair, list[float]] = field(default_factory=dict)
     overflow: dict[Pair, list[float]] = field(default_factory=dict)
-    rounds: int = 0
-    settled: bool = False
+    iterations: int = 0
+    converged: bool = False
 
     def worst(self) -> float:
-        return max((x for losses in self.lost.values() for x in losses), default=0.0)
+        """The largest loss of any pair and class."""
+        return max((loss for losses in self.lost.values() for loss in losses), default=0.0)
 
 
 class _Matrices:
-    """The network as arrays, a row and a column an exchange, one layer a class."""
-
-    def __init__(self, net: Network) -> None:
-        self.row = {node: i for i, node in enumerate(net.nodes)}
-        size, count = len(self.row), len(net.widths)
-        self.groups = [p for p, n in net.circuits.items() if n > 0]
-        self.ends = np.array([(self.row[a], self.row[b]) for a, b in self.groups], dtype=int).reshape(-1, 2)
-        self.loads = np.zeros((count, size, size))
-        for (a, b), loads in net.loads.items():
-            for c, load in enumerate(loads):
-                self.loads[c, self.row[a], self.row[b]] = self.loads[c, self.row[b], self.row[a]] = load
-        self.linked = np.zeros((size, size))
+    """The network as arrays: a row and a column for each exchange, a layer for each class."""
+
+    def __init__(self, network: Network) -> None:
+        self.index = {node: row for row, node in enumerate(network.nodes)}
+        node_count, class_count = len(self.index), len(network.widths)
+        self.groups = [ends for ends, circuits in network.circuits.items() if circuits > 0]
+        self.group_ends = np.array(
+            [(self.index[a], self.index[b]) for a, b in self.groups], dtype=int
+        ).reshape(-1, 2)
+        self.loads = np.zeros((class_count, node_count, node_count))
+        for (a, b), loads in network.loads.items():
+            for cls, load in enumerate(loads):
+                self.loads[cls, self.index[a], self.index[b]] = self.loads[
+                    cls, self.index[b], self.index[a]
+                ] = load
+        self.linked = np.zeros((node_count, node_count))
         for a, b in self.groups:
-            self.linked[self.row[a], self.row[b]] = self.linked[self.row[b], self.row[a]] = 1.0
-        self.ways = self.linked @ self.linked if net.alternates else np.zeros((size, size))
-        np.fill_diagonal(self.ways, 0.0)
-
-    def spread(self, values: Array) -> Array:
-        """Values by class and group as a symmetric matrix by class; 0 where there is no group."""
-        found = np.zeros_like(self.loads)
-        one, other = self.ends.T
-        found[:, one, other] = found[:, other, one] = values
-        return found
+            self.linked[self.index[a], self.index[b]] = self.linked[self.index[b], self.index[a]] = 1.0
+        self.tandem_counts = (
+            self.linked @ self.linked if network.alternates else np.zeros((node_count, node_count))
+        )
+        np.fill_diagonal(self.tandem_counts, 0.0)
+
+    def to_matrices(self, values: Array) -> Array:
+        """Turn values by class and group into symmetric matrices by class, 0 where there is no group."""
+        matrices = np.zeros_like(self.loads)
+        one, other = self.group_ends.T
+        matrices[:, one, other] = matrices[:, other, one] = values
+        return matrices
 
     def overflow_loads(self, direct: Array, free: Array) -> Array:
-        """Overflow offered to each group, by class: of each pair, over the tandems that it is a leg to."""
-        blocked = np.where(self.linked[None] > 0, self.spread(direct), 1.0)
-        share = self.loads * blocked / np.maximum(self.ways, 1.0) * (self.ways > 0)
-        # A call of (i, j) over k loads (i, k) as far as (k, j) lets it through, and the other way round.
+        """Overflow offered to each group, by class, from all pairs for which the group is a leg to a tandem.
+
+        `direct` is the blocking of direct calls, `free` the probability that a group accepts an overflow
+        call.
+        """
+        blocked = np.where(self.linked[None] > 0, self.to_matrices(direct), 1.0)
+        share = self.loads * blocked / np.maximum(self.tandem_counts, 1.0) * (self.tandem_counts > 0)
+        # A call of (i, j) over tandem k is load on (i, k) if (k, j) accepts it, and on (k, j) if (i, k) does.
         onto = share @ free
         both = (onto + onto.transpose(0, 2, 1)) * self.linked[None]
-        one, other = self.ends.T
+        one, other = self.group_ends.T
         return np.asarray(both[:, one, other])
 
-    def lost(self, direct: Array, free: Array) -> Array:
-        blocked = np.where(self.linked[None] > 0, self.spread(direct), 1.0)
-        through = (free @ free) / np.maximum(self.ways, 1.0) * (self.ways > 0)
+    def losses(self, direct: Array, free: Array) -> Array:
+        """Share of each pair's calls that find no route, by class."""
+        blocked = np.where(self.linked[None] > 0, self.to_matrices(direct), 1.0)
+        through = (free @ free) / np.maximum(self.tandem_counts, 1.0) * (self.tandem_counts > 0)
         return np.asarray(blocked * (1.0 - through))
 
 
-def fixed_point(net: Network, start: Point | None = None) -> Point:
-    """Iterate, damped, until no loss moves by more than `SETTLED`.  `start`: another point of the same
-    groups."""
-    made, count = _Matrices(net), len(net.widths)
-    sizes = np.array([net.circuits[p] for p in made.groups], dtype=int)
-    direct, over = np.zeros((count, len(sizes))), np.zeros((count, len(sizes)))
-    if start is not None and all(p in start.direct for p in made.groups):
-        direct = np.array([start.direct[p] for p in made.groups]).T.reshape(count, -1)
-        over = np.array([start.overflow[p] for p in made.groups]).T.reshape(count, -1)
-    one, other = made.ends.T
-    own = made.loads[:, one, other]
-    point = Point()
-    for point.rounds in range(1, ROUNDS + 1):
-        free = (1.0 - made.spread(over)) * made.linked[None]
-        extra = made.overflow_loads(direct, free)
-        new_direct, new_over = _losses(sizes, net.widths, own, extra, net.reserve)
-        step_direct, step_over = DAMPING * (new_direct - direct), DAMPING * (new_over - over)
-        direct, over = direct + step_direct, over + step_over
-        moved = max(float(np.abs(step_direct).max(initial=0.0)), float(np.abs(step_over).max(initial=0.0)))
-        if moved < SETTLED:
-            point.settled = True
+def fixed_point(network: Network, start: FixedPoint | None = None) -> FixedPoint:
+    """Iterate with damping until no blocking changes by `CONVERGENCE_TOLERANCE` or more.
+
+    `start`: a solution for the same groups from which to begin.  `converged` is False in the result if
+    `MAX_ITERATIONS` were not enough.
+    """
+    matrices, class_count = _Matrices(network), len(network.widths)
+    sizes = np.array([network.circuits[ends] for ends in matrices.groups], dtype=int)
+    direct, overflow = np.zeros((class_count, len(sizes))), np.zeros((class_count, len(sizes)))
+    if start is not None and all(ends in start.direct for ends in matrices.groups):
+        direct = np.array([start.direct[ends] for ends in matrices.groups]).T.reshape(class_count, -1)
+        overflow = np.array([start.overflow[ends] for ends in matrices.groups]).T.reshape(class_count, -1)
+    one, other = matrices.group_ends.T
+    own_load = matrices.loads[:, one, other]
+    point = FixedPoint()
+    for point.iterations in range(1, MAX_ITERATIONS + 1):
+        passing = (1.0 - matrices.to_matrices(overflow)) * matrices.linked[None]
+        overflow_load = matrices.overflow_loads(direct, passing)
+        new_direct, new_overflow = _group_losses(
+            sizes, network.widths, own_load, overflow_load, network.reserve
+        )
+        direct_step, overflow_step = DAMPING * (new_direct - direct), DAMPING * (new_overflow - overflow)
+        direct, overflow = direct + direct_step, overflow + overflow_step
+        change = max(
+            float(np.abs(direct_step).max(initial=0.0)), float(np.abs(overflow_step).max(initial=0.0))
+        )
+        if change < CONVERGENCE_TOLERANCE:
+            point.converged = True
             break
-    lost = made.lost(direct, (1.0 - made.spread(over)) * made.linked[None])
-    for i, p in enumerate(made.groups):
-        point.direct[p], point.overflow[p] = direct[:, i].tolist(), over[:, i].tolist()
-    for p in net.loads:
-        point.lost[p] = lost[:, made.row[p[0]], made.row[p[1]]].tolist()
+    lost = matrices.losses(direct, (1.0 - matrices.to_matrices(overflow)) * matrices.linked[None])
+    for column, ends in enumerate(matrices.groups):
+        point.direct[ends], point.overflow[ends] = direct[:, column].tolist(), overflow[:, column].tolist()
+    for ends in network.loads:
+        point.lost[ends] = lost[:, matrices.index[ends[0]], matrices.index[ends[1]]].tolist()
     return point
 
 
-def _losses(
-    sizes: npt.NDArray[np.int_], widths: Sequence[int], own: Array, extra: Array, reserve: int
+def _group_losses(
+    sizes: npt.NDArray[np.int_], widths: Sequence[int], own_load: Array, overflow_load: Array, reserve: int
 ) -> tuple[Array, Array]:  # fmt: skip
-    """`mixed.blocking` for all groups at once: each class's direct and overflow blocking, by class and
-    group."""
-    most, count = int(sizes.max(initial=0)), len(widths)
-    held = np.minimum(reserve, sizes)
-    q = np.zeros((most + 1, len(sizes)))
+    """Direct and overflow blocking by class and group: `mixed.blocking` for all groups at once."""
+    largest, class_count = int(sizes.max(initial=0)), len(widths)
+    reserved = np.minimum(reserve, sizes)
+    q = np.zeros((largest + 1, len(sizes)))
     q[0] = 1.0
-    for x in range(1, most + 1):
+    for busy in range(1, largest + 1):
         total = np.zeros(len(sizes))
-        for c in range(count):
-            if x >= widths[c]:
-                rate = own[c] + np.where(x <= sizes - held, extra[c], 0.0)
-                total += rate * widths[c] * q[x - widths[c]]
-        q[x] = np.where(x <= sizes, total / x, 0.0)
-        big = q[x] > 1e200
-        if big.any():
-            q[: x + 1, big] /= q[x, big]
+        for cls in range(class_count):
+            if busy >= widths[cls]:
+                rate = own_load[cls] + np.where(busy <= sizes - reserved, overflow_load[cls], 0.0)
+                total += rate * widths[cls] * q[busy - widths[cls]]
+        q[busy] = np.where(busy <= sizes, total / busy, 0.0)
+        too_large = q[busy] > 1e200
+        if too_large.any():
+            q[: busy + 1, too_large] /= q[busy, too_large]
     q /= q.sum(axis=0)
-    tail = np.cumsum(q[::-1], axis=0)[::-1]  # what is at x or above; beyond a group's size there is nothing
-    every = np.arange(len(sizes))
-    direct, over = np.zeros((count, len(sizes))), np.zeros((count, len(sizes)))
-    for c, width in enumerate(widths):
-        direct[c] = tail[np.maximum(sizes - width + 1, 0), every]
-        over[c] = tail[np.maximum(sizes - width - held + 1, 0), every]
-    return direct, over
+    tail_sums = np.cumsum(q[::-1], axis=0)[::-1]  # P(busy >= x); 0 beyond the size
+    columns = np.arange(len(sizes))
+    direct, overflow = np.zeros((class_count, len(sizes))), np.zeros((class_count, len(sizes)))
+    for cls, width in enumerate(widths):
+        direct[cls] = tail_sums[np.maximum(sizes - width + 1, 0), columns]
+        overflow[cls] = tail_sums[np.maximum(sizes - width - reserved + 1, 0), columns]
+    return direct, overflow
 
 
 @dataclass(frozen=True)
 class Plan:
-    """Circuits by group, their price, and the fixed point with them."""
+    """Circuits by group, their total price, and the fixed point with these sizes."""
 
     circuits: dict[Pair, int]
     cost: float
-    point: Point
+    point: FixedPoint
 
 
 def size(
-    net: Network, targets: Sequence[float], module: int = 1, costs: Mapping[Pair, float] | None = None,
-    rounds: int = 2_000, looks: int = 1_000_000,
+    network: Network, targets: Sequence[float], module: int = 1, costs: Mapping[Pair, float] | None = None,
+    max_rounds: int = 2_000, looks: int = 1_000_000,
 ) -> Plan:  # fmt: skip
-    """Sizes for all groups at once, at which no pair's class loses more than its target.
-
-    Up, then down.  Up: groups whose pairs are over their target grow by a module, until none is over; a pair
-    without a group of its own grows the worst leg of its tandem ways.  Down: modules are taken
-    away where all targets still hold, from half of the groups at once, then from fewer, at last one by one,
-    dearest first.  `looks` bounds the fixed points of the way down: what is left untried is circuits too
-    many, never too few.  A local optimum; see the tests for how it stands against exhaustive search.
-    Raises ValueError where a pair has no way at all.
+    """Size all groups together, so that no class of any pair loses more than its target.
+
+    First the groups grow: each pair that misses a target gets a module more, until no pair misses one; a pair
+    without a group of its own enlarges the worst leg of its tandem routes.  Then modules are removed as long
+    as all targets are met: from half of the groups at once, then from smaller batches, finally from single
+    groups, the most expensive first.  `looks` limits the fixed points computed for the removal; if it is
+    reached, some groups keep more circuits than needed, never fewer.  The result is a local optimum; the
+    tests compare it
+    with exhaustive search.  Raises ValueError if a pair has no route at all.
     """
     prices = costs or {}
 
-    def at(sizes: dict[Pair, int], near: Point | None) -> Point:
-        return fixed_point(replace(net, circuits=sizes), near)
+    def solve(sizes: dict[Pair, int], start: FixedPoint | None) -> FixedPoint:
+        return fixed_point(replace(network, circuits=sizes), start)
 
-    def over(point: Point) -> list[Pair]:
+    def pairs_over_target(point: FixedPoint) -> list[Pair]:
         return [
-            p for p, loads in net.loads.items()
-            if any(a > 0 and lost > t for a, lost, t in zip(loads, point.lost[p], targets, strict=True))
+            ends for ends, loads in network.loads.items()
+            if any(
+                load > 0 and lost > target
+                for load, lost, target in zip(loads, point.lost[ends], targets, strict=True)
+            )
         ]  # fmt: skip
 
-    circuits = _start(net, targets, module)
-    point = at(circuits, None)
-    for _ in range(rounds):
-        wanting = over(point)
-        if not wanting:
+    circuits = _initial_sizes(network, targets, module)
+    point = solve(circuits, None)
+    for _ in range(max_rounds):
+        missing_target = pairs_over_target(point)
+        if not missing_target:
             break
-        # Danger: one module a round is a fixed point a round, minutes at sixty exchanges.  All that are over
-        # grow together; what that is too much goes again below.
-        for p in wanting:
-            grow = [p] if circuits.get(p, 0) else _legs(net, p, point)
-            if not grow:
+        # All pairs that miss a target grow in the same round: with one module per round, each needing a fixed
+        # point, sixty exchanges took minutes.  Surplus modules are removed again below.
+        for ends in missing_target:
+            to_grow = [ends] if circuits.get(ends, 0) else _worst_leg(network, ends, point)
+            if not to_grow:
                 raise ValueError(
-                    f"pair {p}: found no group and no tandem with groups to both; allowed: one of them"
+                    f"pair {ends}: found no group and no tandem with groups to both; allowed: one of them"
                 )
-            for group in grow:
+            for group in to_grow:
                 circuits[group] += module
-        point = at(circuits, point)
+        point = solve(circuits, point)
     else:
-        raise ValueError(f"no sizes found in {rounds} rounds")
-    order = sorted((p for p, n in circuits.items() if n > 0), key=lambda g: (-prices.get(g, 1.0), g))
-    batch = max(len(order) // 2, 1)
-    while batch and looks > 0:
-        fewer_now = False
-        for begin in range(0, len(order), batch):
-            some = [p for p in order[begin : begin + batch] if circuits[p] > module]
-            while some and looks > 0:
+        raise ValueError(f"no sizes found in {max_rounds} rounds")
+    removal_order = sorted(
+        (ends for ends, count in circuits.items() if count > 0),
+        key=lambda group: (-prices.get(group, 1.0), group),
+    )
+    batch_size = max(len(removal_order) // 2, 1)
+    while batch_size and looks > 0:
+        removed = False
+        for batch_start in range(0, len(removal_order), batch_size):
+            candidates = [
+                ends
+                for ends in removal_order[batch_start : batch_start + batch_size]
+                if circuits[ends] > module
+            ]
+            while candidates and looks > 0:
                 looks -= 1
-                fewer = circuits | {p: circuits[p] - module for p in some}
-                tried = at(fewer, point)
-                if over(tried):
+                smaller = circuits | {ends: circuits[ends] - module for ends in candidates}
+                trial = solve(smaller, point)
+                if pairs_over_target(trial):
                     break
-                circuits, point, fewer_now = fewer, tried, True
-                some = [p for p in some if circuits[p] > module]
-        if batch == 1 and not fewer_now:
+                circuits, point, removed = smaller, trial, True
+                candidates = [ends for ends in candidates if circuits[ends] > module]
+        if batch_size == 1 and not removed:
             break
-        batch = max(batch // 2, 1)
-    return Plan(circuits, sum(n * prices.get(p, 1.0) for p, n in circuits.items()), point)
+        batch_size = max(batch_size // 2, 1)
+    return Plan(circuits, sum(count * prices.get(ends, 1.0) for ends, count in circuits.items()), point)
 
 
-def _start(net: Network, targets: Sequence[float], module: int) -> dict[Pair, int]:
-    """Each group for itself, at ten times the target: the alternates take the rest."""
-    found = dict(net.circuits)
-    loose = [min(10 * t, 0.3) for t in targets]
-    for p, n in net.circuits.items():
-        loads = net.loads.get(p)
-        if n > 0:
-            least = circuits_for(loads, net.widths, loose, 1.0, module) if loads is not None else 0
-            found[p] = max(least, module)
-    return found
+def _initial_sizes(network: Network, targets: Sequence[float], module: int) -> dict[Pair, int]:
+    """Size each group on its own for ten times the target, 0.3 at most: alternates carry the overflow."""
+    sizes = dict(network.circuits)
+    loose_targets = [min(10 * target, 0.3) for target in targets]
+    for ends, circuits in network.circuits.items():
+        loads = network.loads.get(ends)
+        if circuits > 0:
+            least = (
+                circuits_for(loads, network.widths, loose_targets, 1.0, module) if loads is not None else 0
+            )
+            sizes[ends] = max(least, module)
+    return sizes
 
 
-def _legs(net: Network, p: Pair, point: Point) -> list[Pair]:
-    """The leg that loses most of all tandem ways: a call takes any of them at random.
+def _worst_leg(network: Network, ends: Pair, point: FixedPoint) -> list[Pair]:
+    """The leg with the highest overflow blocking of all tandem routes of a pair, or none.
 
-    Danger: growing the best way instead never ends, since the others go on losing their share.
+    A call takes one of the routes at random.  Enlarging the best route instead would never end, since the
+    other routes would go on losing their share of the calls.
     """
-    legs = [leg for k in net.tandems(p) for leg in (pair(p[0], k), pair(k, p[1]))]
+    legs = [leg for tandem in network.tandems(ends) for leg in (pair(ends[0], tandem), pair(tandem, ends[1]))]
     return [max(legs, key=lambda leg: (sum(point.overflow[leg]), leg))] if legs else []
--- a/eiderstep/sizing/recommend.py
+++ b/eiderstep/sizing/recommend.py
@@ -1,21 +1,24 @@
-"""How many circuits: for one group with its interval, cost and what it does to its neighbours."""
+"""Advises the number of circuits of one group, with an interval, the cost and the effect on its overflow."""
 
 from __future__ import annotations
 
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from eiderstep.sizing.estimate import Load, blocking, peakedness
+from eiderstep.sizing.estimate import Load, blocking, group_peakedness
 from eiderstep.sizing.mixed import Stream
 
-MOST = 20_000
+MAX_CIRCUITS = 20_000  # largest size that is tried
 
 
 @dataclass(frozen=True)
 class Advice:
-    """Circuits for the load as estimated, at the low and at the high end of its interval, and each class's
-    blocking with the advised number.  `overflow`: erlangs of circuits that leave for alternates, now and
-    then."""
+    """Advised size of a group.
+
+    `circuits` is for the estimated load, `low` and `high` for the ends of its interval.  `blocking` is that
+    of each class with the advised number, `cost` the price of the change.  `overflow_now` and `overflow_then`
+    are the overflow (erlangs, in circuits) with the present and with the advised number.
+    """
 
     circuits: int
     low: int
@@ -27,54 +30,59 @@
 
 
 def circuits_for(
-    loads: Sequence[float], widths: Sequence[int], targets: Sequence[float], peaked: float, module: int = 1,
-    extra: Sequence[Stream] = (),
+    loads: Sequence[float], widths: Sequence[int], targets: Sequence[float], peakedness: float,
+    module: int = 1, other_streams: Sequence[Stream] = (),
 ) -> int:  # fmt: skip
-    """The fewest circuits, in whole modules, at which each class that has a load meets its target.
+    """The fewest circuits, in whole modules, with which each class that has a load meets its target.
 
-    A wide class's blocking is not monotone in the size: the next `width` sizes must hold as well.
+    The blocking of a wide class is not monotone in the size, so the next sizes, up to the largest width, must
+    meet the targets as well.  Raises ValueError if no size up to `MAX_CIRCUITS` does.
     """
-    for c, target in enumerate(targets):
+    for cls, target in enumerate(targets):
         if not 0 < target < 1:
-            raise ValueError(f"target of class {c}: found {target}; allowed: above 0, below 1")
+            raise ValueError(f"target of class {cls}: found {target}; allowed: above 0, below 1")
     if not any(loads):
         return 0
-    offered = sum(a * w for a, w in zip(loads, widths, strict=True)) + sum(s.load * s.width for s in extra)
+    offered_load = sum(a * w for a, w in zip(loads, widths, strict=True)) + sum(
+        s.load * s.width for s in other_streams
+    )
 
-    def fits(size: int) -> bool:
-        lost = blocking(size, loads, widths, peaked, extra)
-        return all(x <= t for x, t, a in zip(lost, targets, loads, strict=True) if a > 0)
+    def meets_targets(size: int) -> bool:
+        blocked = blocking(size, loads, widths, peakedness, other_streams)
+        return all(x <= t for x, t, a in zip(blocked, targets, loads, strict=True) if a > 0)
 
-    step, n = max(int(offered / 4), 1), max(widths)
+    step, n = max(int(offered_load / 4), 1), max(widths)
     while True:
-        while not fits(n):
+        while not meets_targets(n):
             n += step
-            if n > MOST:
-                raise ValueError(f"no size up to {MOST} circuits meets the targets")
+            if n > MAX_CIRCUITS:
+                raise ValueError(f"no size up to {MAX_CIRCUITS} circuits meets the targets")
         if step == 1:
             break
         n, step = max(n - step, *widths), max(step // 4, 1)
-    while not all(fits(n + k) for k in range(max(widths))):
+    while not all(meets_targets(n + k) for k in range(max(widths))):
         n += 1
     return -(-n // module) * module
 
 
 def advise(
-    found: Sequence[Load], circuits: int, widths: Sequence[int], targets: Sequence[float], module: int = 1,
-    price: float = 1.0, extra: Sequence[Stream] = (),
+    class_loads: Sequence[Load], circuits: int, widths: Sequence[int], targets: Sequence[float],
+    module: int = 1, price: float = 1.0, other_streams: Sequence[Stream] = (),
 ) -> Advice:  # fmt: skip
-    """For one group.  `circuits`: what it has now; `price` of a circuit."""
-    peaked = peakedness(found)
-    middle = [x.load for x in found]
-    size = circuits_for(middle, widths, targets, peaked, module, extra)
-    low = circuits_for([x.low for x in found], widths, targets, peaked, module, extra)
-    high = circuits_for([min(x.high, 1e5) for x in found], widths, targets, peaked, module, extra)
-
-    def leaves(n: int) -> float:
-        lost = blocking(n, middle, widths, peaked, extra)
-        return sum(a * w * b for a, w, b in zip(middle, widths, lost, strict=True))
+    """Advise a size for one group that now has `circuits`; `price` is that of one circuit."""
+    peakedness = group_peakedness(class_loads)
+    estimated_loads = [load.load for load in class_loads]
+    size = circuits_for(estimated_loads, widths, targets, peakedness, module, other_streams)
+    low = circuits_for([load.low for load in class_loads], widths, targets, peakedness, module, other_streams)
+    high = circuits_for(
+        [min(load.high, 1e5) for load in class_loads], widths, targets, peakedness, module, other_streams
+    )
+
+    def overflow_load(n: int) -> float:
+        losses = blocking(n, estimated_loads, widths, peakedness, other_streams)
+        return sum(a * w * b for a, w, b in zip(estimated_loads, widths, losses, strict=True))
 
     return Advice(
-        size, low, high, blocking(size, middle, widths, peaked, extra), price * (size - circuits),
-        leaves(circuits), leaves(size),
+        size, low, high, blocking(size, estimated_loads, widths, peakedness, other_streams),
+        price * (size - circuits), overflow_load(circuits), overflow_load(size),
     )  # fmt: skip
--- a/eiderstep/sizing/report.py
+++ b/eiderstep/sizing/report.py
@@ -1,4 +1,4 @@
-"""The report: one HTML page that stands without a network, pictures within it."""
+"""Renders the sizing report: one self-contained HTML page with embedded plots."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from matplotlib.figure import Figure  # noqa: E402
 
 from eiderstep.sizing import summary  # noqa: E402
-from eiderstep.sizing.summary import Group, Wanted  # noqa: E402
+from eiderstep.sizing.summary import GroupSummary, Wanted  # noqa: E402
 
 TEMPLATE = """<!DOCTYPE html>
 <html lang="en"><head><meta charset="utf-8"><title>Trunk groups of exchange {{ number }}</title>
@@ -33,7 +33,7 @@
 <th>advised</th><th>cost</th></tr>
 {% for g in groups %}<tr><td><a href="#g{{ g.number }}">exchange {{ g.number }}</a></td>
 <td>{{ g.circuits }}</td>
-<td>{{ "%.1f"|format(g.hours) }}</td><td>{{ "%.1f"|format(100 * g.censored) }}%</td>
+<td>{{ "%.1f"|format(g.hours) }}</td><td>{{ "%.1f"|format(100 * g.censored_share) }}%</td>
 <td>{{ "%.0f"|format(100 * g.occupancy) }}%</td>
 {% set verdict = g.judgement.verdict.value %}
 <td class="{{ 'small' if verdict == 'too small' else 'enough' }}">{{ verdict }}</td>
@@ -43,50 +43,62 @@
 {% endfor %}</table>
 <h2>Traffic from exchange {{ number }}, erlangs</h2>
 <table><tr><th>toward</th>{% for c in wanted.classes %}<th>{{ c }}</th>{% endfor %}</tr>
-{% for other, loads in matrix %}<tr><td>exchange {{ other }}</td>
+{% for other, loads in loads_by_exchange %}<tr><td>exchange {{ other }}</td>
 {% for a in loads %}<td>{{ "%.2f"|format(a) }}</td>{% endfor %}</tr>
 {% endfor %}</table>
 {% for g in groups %}<h2 id="g{{ g.number }}">Toward exchange {{ g.number }}</h2>
 <ul>{% for line in lines[g.number] %}<li>{{ line }}</li>{% endfor %}</ul>
 <img alt="blocking against circuits, and first tries by hour, toward exchange {{ g.number }}"
-src="data:image/png;base64,{{ pictures[g.number] }}">
+src="data:image/png;base64,{{ plots[g.number] }}">
 {% endfor %}</body></html>
 """
 
 
-def page(number: int, groups: Mapping[int, Group], wanted: Wanted) -> str:
-    """All groups of one exchange."""
-    make = jinja2.Environment(autoescape=True, undefined=jinja2.StrictUndefined).from_string(TEMPLATE)
-    return make.render(
-        number=number, groups=list(groups.values()), wanted=wanted, matrix=summary.matrix(groups),
+def page(number: int, groups: Mapping[int, GroupSummary], wanted: Wanted) -> str:
+    """Render the page on all groups of the exchange `number`."""
+    template = jinja2.Environment(autoescape=True, undefined=jinja2.StrictUndefined).from_string(TEMPLATE)
+    return template.render(
+        number=number, groups=list(groups.values()), wanted=wanted,
+        loads_by_exchange=summary.loads_by_exchange(groups),
         lines={n: summary.explain(g, wanted) for n, g in groups.items()},
-        pictures={n: picture(g, wanted) for n, g in groups.items()},
+        plots={n: plot_png(g, wanted) for n, g in groups.items()},
     )  # fmt: skip
 
 
-def picture(group: Group, wanted: Wanted) -> str:
-    """Blocking by size with its interval and what was measured; first tries by hour.  PNG in base64."""
+def plot_png(group: GroupSummary, wanted: Wanted) -> str:
+    """Plot blocking by size, with its interval and the measured value, and first tries by hour.
+
+    Returns the PNG in base64.
+    """
     figure = Figure(figsize=(10, 3.6), dpi=90, layout="constrained")
-    left, right = figure.subplots(1, 2)
-    rows = summary.curve(group, wanted, summary.sizes_around(group))
+    blocking_axes, tries_axes = figure.subplots(1, 2)
+    rows = summary.blocking_curves(group, wanted, summary.sizes_to_plot(group))
     sizes = [row[0] for row in rows]
-    for c, name in enumerate(wanted.classes):
-        if not group.judgement.loads[c].seen:
+    for cls, name in enumerate(wanted.classes):
+        if not group.judgement.loads[cls].first_tries:
             continue
-        (line,) = left.plot(sizes, [row[2][c] for row in rows], label=f"{name}, by the formulas")
-        left.fill_between(
-            sizes, [row[1][c] for row in rows], [row[3][c] for row in rows], alpha=0.2, color=line.get_color()
+        (curve,) = blocking_axes.plot(sizes, [row[2][cls] for row in rows], label=f"{name}, by the formulas")
+        blocking_axes.fill_between(
+            sizes,
+            [row[1][cls] for row in rows],
+            [row[3][cls] for row in rows],
+            alpha=0.2,
+            color=curve.get_color(),
         )
-        left.axhline(wanted.targets[c], linestyle=":", color=line.get_color())
-        seen = group.judgement.measured[c]
-        if seen is not None:
-            left.plot([group.circuits], [seen], "o", color=line.get_color(), label=f"{name}, measured")
-    left.set(xlabel="circuits", ylabel="lost", title=f"toward exchange {group.number}", ylim=(0, None))
-    if left.lines:
-        left.legend(fontsize="small")
-    hours = summary.by_hour(group.every)
-    right.bar(list(hours), list(hours.values()))
-    right.set(xlabel="hour of the day", ylabel="first tries an hour", xlim=(-0.6, 23.6))
-    sink = io.BytesIO()
-    figure.savefig(sink, format="png", metadata={"Software": None})
-    return base64.b64encode(sink.getvalue()).decode()
+        blocking_axes.axhline(wanted.targets[cls], linestyle=":", color=curve.get_color())
+        measured_blocking = group.judgement.measured[cls]
+        if measured_blocking is not None:
+            blocking_axes.plot(
+                [group.circuits], [measured_blocking], "o", color=curve.get_color(), label=f"{name}, measured"
+            )
+    blocking_axes.set(
+        xlabel="circuits", ylabel="lost", title=f"toward exchange {group.number}", ylim=(0, None)
+    )
+    if blocking_axes.lines:
+        blocking_axes.legend(fontsize="small")
+    tries_by_hour = summary.first_tries_by_hour(group.all_buckets)
+    tries_axes.bar(list(tries_by_hour), list(tries_by_hour.values()))
+    tries_axes.set(xlabel="hour of the day", ylabel="first tries an hour", xlim=(-0.6, 23.6))
+    png = io.BytesIO()
+    figure.savefig(png, format="png", metadata={"Software": None})
+    return base64.b64encode(png.getvalue()).decode()
--- a/eiderstep/sizing/summary.py
+++ b/eiderstep/sizing/summary.py
@@ -1,4 +1,4 @@
-"""What the measurements of all groups come to, as plain rows for tables and reports.  No I/O."""
+"""Summaries of the groups' measurements, verdicts and advice for tables and reports.  No I/O."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from eiderstep.sizing.bucket import Bucket
 from eiderstep.sizing.erlang import erlang_b
-from eiderstep.sizing.estimate import DAY_HOURS, HOUR, Judgement, blocking, judge, peakedness
+from eiderstep.sizing.estimate import DAY_HOURS, HOUR, Judgement, blocking, group_peakedness, judge
 from eiderstep.sizing.recommend import Advice, advise
 
 SECOND = 1_000_000_000
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True)
 class Wanted:
-    """What the settings say: names and widths of the classes, targets, module of circuits, price of one."""
+    """Settings of the sizing: class names, widths and blocking targets; module and price of circuits."""
 
     classes: Sequence[str]
     widths: Sequence[int]
@@ -26,82 +26,96 @@
 
 
 @dataclass(frozen=True)
-class Group:
-    """One group's summary."""
+class GroupSummary:
+    """Measured figures, judgement and advice of one group."""
 
     number: int
     circuits: int
     hours: float
-    censored: float  # share of the time
+    censored_share: float  # of the time
     occupancy: float  # circuits busy over circuits in service
-    full: float  # share of the time
+    full_share: float  # of the time, with no circuit free
     judgement: Judgement
     advice: Advice | None
-    peaked: float
-    busy_hour: int | None  # of the day, by first tries
-    buckets: Sequence[Bucket]  # what it was judged by
-    every: Sequence[Bucket]  # all hours of the day
-
-
-def summarize(number: int, buckets: Sequence[Bucket], wanted: Wanted, busy_hour: bool = False) -> Group:
-    """One group.  `busy_hour`: size it for the hour of the day in which it has most first tries."""
-    hour = busiest(buckets)
-    used = (
-        [b for b in buckets if b.start // HOUR % DAY_HOURS == hour]
-        if busy_hour and hour is not None
+    peakedness: float
+    busy_hour: int | None  # hour of the day (0 to 23) with the most first tries
+    buckets: Sequence[Bucket]  # those on which the judgement is based
+    all_buckets: Sequence[Bucket]  # of all hours of the day
+
+
+def summarize(
+    number: int, buckets: Sequence[Bucket], wanted: Wanted, busy_hour: bool = False
+) -> GroupSummary:
+    """Judge and size one group; `busy_hour`: only for the hour of the day with the most first tries."""
+    busiest_hour = busiest(buckets)
+    judged_buckets = (
+        [bucket for bucket in buckets if bucket.start // HOUR % DAY_HOURS == busiest_hour]
+        if busy_hour and busiest_hour is not None
         else buckets
     )
-    found = judge(used, wanted.widths, wanted.targets, names=wanted.classes)
-    span = sum(b.length for b in used)
-    service = sum(b.in_service for b in used)
+    judgement = judge(judged_buckets, wanted.widths, wanted.targets, names=wanted.classes)
+    length = sum(bucket.length for bucket in judged_buckets)
+    service_time = sum(bucket.in_service for bucket in judged_buckets)
     circuits = buckets[-1].circuits if buckets else 0
     advice = None
-    if any(x.seen for x in found.loads) and all(x.hold or not x.seen for x in found.loads):
+    if any(load.first_tries for load in judgement.loads) and all(
+        load.hold or not load.first_tries for load in judgement.loads
+    ):
         advice = advise(
-            found.loads, circuits, wanted.widths, wanted.targets, wanted.module, wanted.price, found.others
+            judgement.loads,
+            circuits,
+            wanted.widths,
+            wanted.targets,
+            wanted.module,
+            wanted.price,
+            judgement.other_streams,
         )
-    return Group(
-        number, circuits, span / HOUR,
-        sum(b.length for b in used if b.censored) / span if span else 0.0,
-        sum(b.busy for b in used) / service if service else 0.0,
-        sum(b.full for b in used) / span if span else 0.0,
-        found, advice, peakedness(found.loads), hour, used, buckets,
+    return GroupSummary(
+        number, circuits, length / HOUR,
+        sum(bucket.length for bucket in judged_buckets if bucket.censored) / length if length else 0.0,
+        sum(bucket.busy for bucket in judged_buckets) / service_time if service_time else 0.0,
+        sum(bucket.full for bucket in judged_buckets) / length if length else 0.0,
+        judgement, advice, group_peakedness(judgement.loads), busiest_hour, judged_buckets, buckets,
     )  # fmt: skip
 
 
 def busiest(buckets: Sequence[Bucket]) -> int | None:
     """The hour of the day with the highest rate of first tries in uncensored time; None without any."""
-    tries: dict[int, list[float]] = {}
-    for b in buckets:
-        if not b.censored:
-            sums = tries.setdefault(b.start // HOUR % DAY_HOURS, [0.0, 0.0])
-            sums[0] += sum(c.first for c in b.classes)
-            sums[1] += b.length
-    rates = {hour: n / span for hour, (n, span) in tries.items() if span}
-    return max(rates, key=lambda h: (rates[h], -h)) if any(rates.values()) else None
-
-
-def by_hour(buckets: Sequence[Bucket]) -> dict[int, float]:
-    """First tries an hour by hour of the day, uncensored time alone."""
-    sums: dict[int, list[float]] = {}
-    for b in buckets:
-        if not b.censored:
-            held = sums.setdefault(b.start // HOUR % DAY_HOURS, [0.0, 0.0])
-            held[0] += sum(c.first for c in b.classes)
-            held[1] += b.length / HOUR
-    return {hour: n / span for hour, (n, span) in sorted(sums.items()) if span}
-
-
-def curve(
-    group: Group, wanted: Wanted, sizes: Sequence[int]
+    sums_by_hour: dict[int, list[float]] = {}
+    for bucket in buckets:
+        if not bucket.censored:
+            sums = sums_by_hour.setdefault(bucket.start // HOUR % DAY_HOURS, [0.0, 0.0])
+            sums[0] += sum(counts.first for counts in bucket.classes)
+            sums[1] += bucket.length
+    rates = {hour: tries / span for hour, (tries, span) in sums_by_hour.items() if span}
+    return max(rates, key=lambda hour: (rates[hour], -hour)) if any(rates.values()) else None
+
+
+def first_tries_by_hour(buckets: Sequence[Bucket]) -> dict[int, float]:
+    """First tries per hour for each hour of the day, in uncensored time only."""
+    sums_by_hour: dict[int, list[float]] = {}
+    for bucket in buckets:
+        if not bucket.censored:
+            sums = sums_by_hour.setdefault(bucket.start // HOUR % DAY_HOURS, [0.0, 0.0])
+            sums[0] += sum(counts.first for counts in bucket.classes)
+            sums[1] += bucket.length / HOUR
+    return {hour: tries / hours for hour, (tries, hours) in sorted(sums_by_hour.items()) if hours}
+
+
+def blocking_curves(
+    group: GroupSummary, wanted: Wanted, sizes: Sequence[int]
 ) -> list[tuple[int, list[float], list[float], list[float]]]:
-    """For each size the blocking of each class at the low end, the middle and the high end of the load."""
-    found = group.judgement.loads
+    """Rows of a size and each class's blocking at the low end, the estimate and the high end of its load."""
+    class_loads = group.judgement.loads
     rows = []
     for size in sizes:
         low, middle, high = (
             blocking(
-                size, [getattr(x, name) for x in found], wanted.widths, group.peaked, group.judgement.others
+                size,
+                [getattr(load, name) for load in class_loads],
+                wanted.widths,
+                group.peakedness,
+                group.judgement.other_streams,
             )
             for name in ("low", "load", "high")
         )
@@ -109,78 +123,88 @@
     return rows
 
 
-def sizes_around(group: Group, count: int = 24) -> list[int]:
-    """Sizes worth a look: about the one that is there and the one advised."""
-    marks = [group.circuits] + ([group.advice.low, group.advice.high] if group.advice else [])
-    low, high = max(min(marks) - 3, 0), max(marks) + 3
+def sizes_to_plot(group: GroupSummary, count: int = 24) -> list[int]:
+    """About `count` sizes around the present and the advised one."""
+    marked_sizes = [group.circuits] + ([group.advice.low, group.advice.high] if group.advice else [])
+    low, high = max(min(marked_sizes) - 3, 0), max(marked_sizes) + 3
     step = max((high - low) // count, 1)
     return sorted({*range(low, high + 1, step), group.circuits})
 
 
-def explain(group: Group, wanted: Wanted) -> list[str]:
-    """The way from the counts to the verdict, a line a step."""
-    found, good = group.judgement, [b for b in group.buckets if not b.censored]
+def explain(group: GroupSummary, wanted: Wanted) -> list[str]:
+    """Explain how the verdict follows from the counts, one step per line."""
+    judgement, uncensored = group.judgement, [bucket for bucket in group.buckets if not bucket.censored]
     lines = [
         f"group toward exchange {group.number}: {group.circuits} circuits, {group.hours:.1f} hours in "
-        f"{len(group.buckets)} buckets, {100 * group.censored:.1f}% of the time censored by outages",
-        f"busy {100 * group.occupancy:.1f}% of circuit-time, all busy {100 * group.full:.2f}% of the time",
+        f"{len(group.buckets)} buckets, {100 * group.censored_share:.1f}% of the time censored by outages",
+        f"busy {100 * group.occupancy:.1f}% of circuit-time, "
+        f"all busy {100 * group.full_share:.2f}% of the time",
     ]
-    for c, name in enumerate(wanted.classes):
-        if c >= len(found.loads) or not found.loads[c].seen:
+    for cls, name in enumerate(wanted.classes):
+        if cls >= len(judgement.loads) or not judgement.loads[cls].first_tries:
             lines.append(f"class {name}: no tries seen")
             continue
-        load = found.loads[c]
-        counts = [b.classes[c] for b in good if len(b.classes) > c]
-        redials, refused = sum(k.redials for k in counts), sum(k.refused for k in counts)
-        lost = sum(k.blocked_first for k in counts)
-        low, middle, high = found.expected[c]
+        load = judgement.loads[cls]
+        class_counts = [bucket.classes[cls] for bucket in uncensored if len(bucket.classes) > cls]
+        redials, refused = (
+            sum(counts.redials for counts in class_counts),
+            sum(counts.refused for counts in class_counts),
+        )
+        blocked = sum(counts.blocked_first for counts in class_counts)
+        low, middle, high = judgement.expected[cls]
         lines.append(
-            f"class {name}: {load.seen} first tries ({load.rate:.4f} a second with censored time filled in), "
-            f"{redials} redials kept out, {refused} refused for other causes than circuits"
+            f"class {name}: {load.first_tries} first tries "
+            f"({load.rate:.4f} a second with censored time filled in), "
+            f"{redials} redials not counted, {refused} refused for other causes than circuits"
         )
         lines.append(
-            f"  mean holding time {load.hold:.1f} s, width {wanted.widths[c]}; load {load.load:.2f} erlangs, "
-            f"90% interval {load.low:.2f} to {load.high:.2f}; index of dispersion {load.dispersion:.2f}"
+            f"  mean holding time {load.hold:.1f} s, width {wanted.widths[cls]}; "
+            f"load {load.load:.2f} erlangs, 90% interval {load.low:.2f} to {load.high:.2f}; "
+            f"index of dispersion {load.dispersion:.2f}"
         )
         lines.append(
-            f"  {lost} first tries found no circuit ({_share(found.measured[c])}); expected at this size "
-            f"{middle:.4f}, {low:.4f} to {high:.4f}; wanted {wanted.targets[c]:g}"
+            f"  {blocked} first tries found no circuit ({_format_share(judgement.measured[cls])}); "
+            f"expected at this size {middle:.4f}, {low:.4f} to {high:.4f}; wanted {wanted.targets[cls]:g}"
         )
-    for stream in found.others:
+    for stream in judgement.other_streams:
         lines.append(f"other pairs send {stream.load:.2f} erlangs of width {stream.width} over it")
-    if group.peaked > 1.0:
+    if group.peakedness > 1.0:
         lines.append(
-            f"peakedness {group.peaked:.2f}" + (", by Hayward's scaling" if group.peaked > 1.2 else "")
+            f"peakedness {group.peakedness:.2f}"
+            + (", by Hayward's scaling" if group.peakedness > 1.2 else "")
         )
-    single = len(found.loads) == 1 and wanted.widths[0] == 1 and group.peaked <= 1.2
-    if single and group.circuits and math.isfinite(found.loads[0].load):
-        lines.append(f"Erlang B({group.circuits}, {found.loads[0].load:.2f}) = "
-                     f"{erlang_b(group.circuits, found.loads[0].load):.4f}")  # fmt: skip
-    lines.append(f"verdict: {found.verdict.value}: {found.why}")
-    if found.hours_more is not None:
-        lines.append(f"about {found.hours_more:.1f} hours more would tell")
+    single_circuit_class = len(judgement.loads) == 1 and wanted.widths[0] == 1 and group.peakedness <= 1.2
+    if single_circuit_class and group.circuits and math.isfinite(judgement.loads[0].load):
+        lines.append(f"Erlang B({group.circuits}, {judgement.loads[0].load:.2f}) = "
+                     f"{erlang_b(group.circuits, judgement.loads[0].load):.4f}")  # fmt: skip
+    lines.append(f"verdict: {judgement.verdict.value}: {judgement.why}")
+    if judgement.hours_more is not None:
+        lines.append(f"about {judgement.hours_more:.1f} more hours of measurement should decide it")
     if group.advice is not None:
-        a = group.advice
+        advice = group.advice
         lines.append(
-            f"advised: {a.circuits} circuits ({a.low} to {a.high} by the interval), cost {a.cost:+g}; "
-            f"{a.overflow_now:.2f} erlangs leave for alternates now, {a.overflow_then:.2f} then"
+            f"advised: {advice.circuits} circuits ({advice.low} to {advice.high} by the interval), "
+            f"cost {advice.cost:+g}; {advice.overflow_now:.2f} erlangs overflow to alternates now, "
+            f"{advice.overflow_then:.2f} with the advised size"
         )
     return lines
 
 
-def _share(value: float | None) -> str:
+def _format_share(value: float | None) -> str:
     return "none seen" if value is None else f"{value:.4f}"
 
 
-def matrix(groups: Mapping[int, Group]) -> list[tuple[int, list[float]]]:
-    """The traffic matrix's row of this exchange: erlangs by class toward each other one."""
-    return [(number, [x.load for x in group.judgement.loads]) for number, group in sorted(groups.items())]
+def loads_by_exchange(groups: Mapping[int, GroupSummary]) -> list[tuple[int, list[float]]]:
+    """This exchange's row of the traffic matrix: the loads by class (erlangs) toward each other exchange."""
+    return [
+        (number, [load.load for load in group.judgement.loads]) for number, group in sorted(groups.items())
+    ]
 
 
-def scaled(group: Group, factor: float) -> Group:
-    """The same group under so many times its load."""
+def scale_load(group: GroupSummary, factor: float) -> GroupSummary:
+    """The same group with its loads multiplied by `factor`."""
     loads = [
-        replace(x, load=x.load * factor, low=x.low * factor, high=x.high * factor)
-        for x in group.judgement.loads
+        replace(load, load=load.load * factor, low=load.low * factor, high=load.high * factor)
+        for load in group.judgement.loads
     ]
     return replace(group, judgement=replace(group.judgement, loads=loads))
--- a/tests/test_sizing.py
+++ b/tests/test_sizing.py
@@ -1,5 +1,8 @@
-"""Loss formulas against exact arithmetic and published tables; estimation, verdicts and advice; meter and
-store."""
+"""Tests of trunk group sizing.
+
+Loss formulas are compared with exact arithmetic and published tables.  Estimation, verdicts and advice run on
+simulated or constructed buckets, the meter and the store on their own, and all of it through the call server.
+"""
 
 from __future__ import annotations
 
@@ -37,31 +40,31 @@
 # -- formulas ----------------------------------------------------------------------------------------------
 
 
-def exact_b(n: int, a: Fraction) -> Fraction:
-    """Erlang's formula as it stands, in fractions."""
+def exact_erlang_b(n: int, a: Fraction) -> Fraction:
+    """Erlang's formula in exact fractions."""
     terms = [a**k / math.factorial(k) for k in range(n + 1)]
     return terms[-1] / sum(terms)
 
 
 @pytest.mark.parametrize("n", [0, 1, 2, 3, 10, 60, 200])
 @pytest.mark.parametrize("a", [Fraction(1, 100), Fraction(1), Fraction(17, 3), Fraction(90), Fraction(400)])
-def test_erlang_b_to_the_last_digits(n: int, a: Fraction) -> None:
-    exact = float(exact_b(n, a))
+def test_erlang_b_matches_exact_arithmetic(n: int, a: Fraction) -> None:
+    exact = float(exact_erlang_b(n, a))
     assert erlang.erlang_b(n, float(a)) == pytest.approx(exact, rel=1e-12)
     if exact > 1e-250:
         assert erlang.erlang_b_real(n, float(a)) == pytest.approx(exact, rel=1e-10)
 
 
-TABLE = {  # erlangs that n circuits take at that blocking: the table that every textbook prints
+ERLANG_B_TABLE = {  # by blocking: circuits and the erlangs that they carry, as in textbooks
     0.01: {1: 0.0101, 2: 0.1526, 3: 0.4555, 5: 1.3608, 10: 4.4612, 20: 12.031, 50: 37.901, 100: 84.064},
     0.02: {1: 0.0204, 2: 0.2235, 5: 1.6571, 10: 5.0840, 20: 13.182, 50: 40.255, 100: 87.972},
     0.05: {1: 0.0526, 2: 0.3813, 5: 2.2185, 10: 6.2157, 20: 15.249, 50: 44.533},
 }  # fmt: skip
 
 
-@pytest.mark.parametrize("target", TABLE)
-def test_the_inverses_are_the_published_table(target: float) -> None:
-    for n, load in TABLE[target].items():
+@pytest.mark.parametrize("target", ERLANG_B_TABLE)
+def test_inverse_functions_match_published_table(target: float) -> None:
+    for n, load in ERLANG_B_TABLE[target].items():
         found = erlang.load_for(n, target)
         assert float(f"{found:.5g}") == pytest.approx(load, abs=0.6 * 10 ** -(4 if load < 10 else 3))
         assert erlang.erlang_b(n, found) == pytest.approx(target, rel=1e-11)
@@ -71,86 +74,94 @@
 
 @settings(deadline=None)
 @given(st.floats(0.05, 150), st.floats(0.1, 80))
-def test_the_continuous_formula_keeps_the_recursion(n: float, a: float) -> None:
-    """B(n+1) = a B(n) / (n + 1 + a B(n)) holds for real n as well, and B falls with n."""
+def test_erlang_b_for_real_circuits_satisfies_recursion(n: float, a: float) -> None:
+    """B(n+1) = a B(n) / (n + 1 + a B(n)) also holds for real n, and B decreases with n."""
     b, more = erlang.erlang_b_real(n, a), erlang.erlang_b_real(n + 1, a)
     assert more == pytest.approx(a * b / (n + 1 + a * b), rel=1e-9)
     assert more < b or b < 1e-300
 
 
-def test_engset_to_the_last_digits() -> None:
-    for n, sources, each in ((1, 2, Fraction(1, 2)), (3, 7, Fraction(2, 5)), (10, 40, Fraction(1, 3))):
+def test_engset_matches_exact_arithmetic() -> None:
+    for n, sources, idle_load in ((1, 2, Fraction(1, 2)), (3, 7, Fraction(2, 5)), (10, 40, Fraction(1, 3))):
 
-        def time(count: int, n: int = n, each: Fraction = each) -> float:
-            terms = [math.comb(count, k) * each**k for k in range(n + 1)]
+        def time_congestion(count: int, n: int = n, idle_load: Fraction = idle_load) -> float:
+            terms = [math.comb(count, k) * idle_load**k for k in range(n + 1)]
             return float(terms[-1] / sum(terms))
 
-        found = erlang.engset(n, sources, float(each))
-        assert found[0] == pytest.approx(time(sources), rel=1e-12)
-        assert found[1] == pytest.approx(time(sources - 1), rel=1e-12)
-    assert erlang.engset(5, 5, 3.0) == (erlang.engset(5, 5, 3.0)[0], 0.0), "a circuit for each: none blocked"
+        found = erlang.engset(n, sources, float(idle_load))
+        assert found[0] == pytest.approx(time_congestion(sources), rel=1e-12)
+        assert found[1] == pytest.approx(time_congestion(sources - 1), rel=1e-12)
+    assert erlang.engset(5, 5, 3.0) == (erlang.engset(5, 5, 3.0)[0], 0.0), (
+        "with a circuit for each source no call is blocked"
+    )
     assert erlang.engset(4, 100_000, 2e-5)[1] == pytest.approx(erlang.erlang_b(4, 2.0), rel=1e-4)
 
 
 @settings(deadline=None)
 @given(st.integers(1, 80), st.floats(0.01, 150), st.floats(0, 0.98))
-def test_extended_b_is_the_fixed_point_and_has_an_inverse(n: int, a: float, redials: float) -> None:
-    lost, total = erlang.extended_b(n, a, redials)
-    assert total == pytest.approx(a / (1 - redials * lost), rel=1e-9)
-    assert erlang.first_tries(n, total, redials) == pytest.approx(a, rel=1e-9)
+def test_extended_b_solves_fixed_point_and_is_inverted(n: int, a: float, redial_probability: float) -> None:
+    blocking, total_load = erlang.extended_b(n, a, redial_probability)
+    assert total_load == pytest.approx(a / (1 - redial_probability * blocking), rel=1e-9)
+    assert erlang.first_try_load(n, total_load, redial_probability) == pytest.approx(a, rel=1e-9)
 
 
-def exact_mixed(n: int, streams: list[Stream]) -> list[float]:
-    """Kaufman and Roberts' states by the product form, every combination of calls."""
+def exact_mixed_blocking(n: int, streams: list[Stream]) -> list[float]:
+    """Blocking by the product form, summed over every combination of calls."""
     weights: dict[int, float] = {}
     for calls in itertools.product(*(range(n // s.width + 1) for s in streams)):
         busy = sum(k * s.width for k, s in zip(calls, streams, strict=True))
         if busy <= n:
             weight = math.prod(s.load**k / math.factorial(k) for k, s in zip(calls, streams, strict=True))
             weights[busy] = weights.get(busy, 0.0) + weight
-    whole = sum(weights.values())
-    return [sum(w for b, w in weights.items() if b + s.width > n) / whole for s in streams]
+    total = sum(weights.values())
+    return [sum(w for b, w in weights.items() if b + s.width > n) / total for s in streams]
 
 
 @pytest.mark.parametrize("n", [0, 1, 2, 3, 4, 11, 30])
-def test_kaufman_roberts_is_the_product_form(n: int) -> None:
+def test_kaufman_roberts_matches_product_form(n: int) -> None:
     streams = [Stream(2.5), Stream(0.7, 2), Stream(1.1, 3)]
-    assert mixed.blocking(n, streams) == pytest.approx(exact_mixed(n, streams), rel=1e-9)
+    assert mixed.blocking(n, streams) == pytest.approx(exact_mixed_blocking(n, streams), rel=1e-9)
     assert mixed.blocking(n, [Stream(4.0)]) == pytest.approx([erlang.erlang_b(n, 4.0)], rel=1e-12)
-    big = mixed.states(2000, [Stream(1800.0), Stream(300.0, 3)])
-    assert big.sum() == pytest.approx(1.0) and (big >= 0).all()
+    distribution = mixed.state_distribution(2000, [Stream(1800.0), Stream(300.0, 3)])
+    assert distribution.sum() == pytest.approx(1.0) and (distribution >= 0).all()
 
 
-def test_reservation_by_its_chain() -> None:
-    n, direct, over, r = 4, 2.0, 3.0, 2
-    rates = [direct + (over if x < n - r else 0.0) for x in range(n)]
-    p = [1.0]
+def test_reservation_matches_birth_death_chain() -> None:
+    n, direct, overflow_load, reserve = 4, 2.0, 3.0, 2
+    rates = [direct + (overflow_load if x < n - reserve else 0.0) for x in range(n)]
+    weights = [1.0]
     for x in range(n):
-        p.append(p[-1] * rates[x] / (x + 1))
-    found = mixed.reserved(n, direct, over, r)
-    assert found == pytest.approx((p[n] / sum(p), sum(p[n - r :]) / sum(p)), rel=1e-12)
-    assert mixed.reserved(6, 3.0, 2.0, 0) == pytest.approx((erlang.erlang_b(6, 5.0),) * 2, rel=1e-12)
-    assert mixed.blocking(n, [Stream(direct), Stream(over, 1, r)]) == pytest.approx(found, rel=1e-12)
+        weights.append(weights[-1] * rates[x] / (x + 1))
+    found = mixed.reservation_blocking(n, direct, overflow_load, reserve)
+    assert found == pytest.approx(
+        (weights[n] / sum(weights), sum(weights[n - reserve :]) / sum(weights)), rel=1e-12
+    )
+    assert mixed.reservation_blocking(6, 3.0, 2.0, 0) == pytest.approx(
+        (erlang.erlang_b(6, 5.0),) * 2, rel=1e-12
+    )
+    assert mixed.blocking(n, [Stream(direct), Stream(overflow_load, 1, reserve)]) == pytest.approx(
+        found, rel=1e-12
+    )
 
 
 @settings(deadline=None, max_examples=40)
 @given(st.integers(1, 60), st.floats(0.3, 1.6))
-def test_the_equivalent_group_is_the_one_that_overflowed(n: int, tightness: float) -> None:
+def test_equivalent_group_recovers_original_group(n: int, tightness: float) -> None:
     a = n * tightness
-    mean, variance = overflow.overflow(n, a)
+    mean, variance = overflow.overflow_moments(n, a)
     if mean < 1e-6:
         return
-    load, circuits = overflow.equivalent(mean, variance)
+    load, circuits = overflow.equivalent_group(mean, variance)
     assert load == pytest.approx(a, rel=1e-5) and circuits == pytest.approx(n, rel=1e-5, abs=1e-4)
     assert overflow.wilkinson(3, mean, variance) == pytest.approx(
         a * erlang.erlang_b(n + 3, a) / mean, rel=1e-4
     )
 
 
-def test_peaked_and_smooth_traffic_by_scaling() -> None:
+def test_hayward_and_fredericks_approximations() -> None:
     assert overflow.hayward(12, 8.0, 1.0) == pytest.approx(erlang.erlang_b(12, 8.0), rel=1e-10)
     assert overflow.hayward(12, 8.0, 0.6) < erlang.erlang_b(12, 8.0) < overflow.hayward(12, 8.0, 2.0)
-    mean, variance = overflow.overflow(30, 28.0)
+    mean, variance = overflow.overflow_moments(30, 28.0)
     for n in (4, 8, 12):
         exact = overflow.wilkinson(n, mean, variance)
         assert overflow.hayward(n, mean, variance / mean) == pytest.approx(exact, abs=0.08)
@@ -162,43 +173,51 @@
     assert losses == pytest.approx(exact_losses, rel=0.35)
 
 
-WRONG = [
+OUT_OF_RANGE_CALLS = [
     lambda: erlang.erlang_b(-1, 1.0), lambda: erlang.erlang_b(3, -0.1), lambda: erlang.load_for(5, 1.0),
-    lambda: erlang.load_for(0, 0.1), lambda: erlang.circuits_for(5.0, 0.0), lambda: erlang.extended_b(3,
-    1.0, 1.0), lambda: erlang.engset(3, -1, 0.1), lambda: mixed.states(3, [Stream(1.0, 0)]), lambda:
-    mixed.reserved(3, 1, 1, 4), lambda: overflow.equivalent(1.0, 0.5), lambda: overflow.hayward(3, 1.0, 0.0),
+    lambda: erlang.load_for(0, 0.1), lambda: erlang.circuits_for(5.0, 0.0),
+    lambda: erlang.extended_b(3, 1.0, 1.0), lambda: erlang.engset(3, -1, 0.1),
+    lambda: mixed.state_distribution(3, [Stream(1.0, 0)]), lambda: mixed.reservation_blocking(3, 1, 1, 4),
+    lambda: overflow.equivalent_group(1.0, 0.5), lambda: overflow.hayward(3, 1.0, 0.0),
     lambda: circuits_for([1.0], [1], [0.0], 1.0),
 ]  # fmt: skip
 
 
-@pytest.mark.parametrize("what", WRONG, ids=range(len(WRONG)))
-def test_out_of_range_says_what_is_allowed(what: object) -> None:
+@pytest.mark.parametrize("what", OUT_OF_RANGE_CALLS, ids=range(len(OUT_OF_RANGE_CALLS)))
+def test_arguments_out_of_range_raise_value_error(what: object) -> None:
     with pytest.raises(ValueError, match="found .*allowed"):
         what()  # type: ignore[operator]
 
 
-# -- a network ---------------------------------------------------------------------------------------------
+# -- networks ----------------------------------------------------------------------------------------------
 
 
-def small(circuits: int = 6, load: float = 3.0, reserve: int = 1) -> Network:
+def symmetric_network(circuits: int = 6, load: float = 3.0, reserve: int = 1) -> Network:
     pairs = [pair(a, b) for a in range(3) for b in range(a)]
     return Network(range(3), [1], {p: [load] for p in pairs}, dict.fromkeys(pairs, circuits), reserve)
 
 
-def test_the_fixed_point_of_a_symmetric_network() -> None:
-    """One equation is left: B = B(n, a, overflow of two pairs that come over here)."""
-    point = network.fixed_point(small())
-    assert point.settled
-    direct, over = next(iter(point.direct.values()))[0], next(iter(point.overflow.values()))[0]
-    extra = 2 * 3.0 * direct * (1 - over)
-    assert mixed.reserved(6, 3.0, extra, 1) == pytest.approx((direct, over), rel=1e-6)
+def test_fixed_point_of_symmetric_network() -> None:
+    """By symmetry one equation remains: B = B(n, a, overflow of the two other pairs)."""
+    point = network.fixed_point(symmetric_network())
+    assert point.converged
+    direct_blocking, overflow_blocking = (
+        next(iter(point.direct.values()))[0],
+        next(iter(point.overflow.values()))[0],
+    )
+    overflow_load = 2 * 3.0 * direct_blocking * (1 - overflow_blocking)
+    assert mixed.reservation_blocking(6, 3.0, overflow_load, 1) == pytest.approx(
+        (direct_blocking, overflow_blocking), rel=1e-6
+    )
     lost = next(iter(point.lost.values()))[0]
-    assert lost == pytest.approx(direct * (1 - (1 - over) ** 2), rel=1e-6)
-    alone = Network(range(3), [1], small().loads, small().circuits, alternates=False)
-    assert network.fixed_point(alone).worst() == pytest.approx(erlang.erlang_b(6, 3.0), rel=1e-6)
+    assert lost == pytest.approx(direct_blocking * (1 - (1 - overflow_blocking) ** 2), rel=1e-6)
+    no_alternates = Network(
+        range(3), [1], symmetric_network().loads, symmetric_network().circuits, alternates=False
+    )
+    assert network.fixed_point(no_alternates).worst() == pytest.approx(erlang.erlang_b(6, 3.0), rel=1e-6)
 
 
-def test_sizes_for_a_network_stand_near_those_of_exhaustive_search() -> None:
+def test_network_sizes_are_close_to_exhaustive_search() -> None:
     pairs = [(0, 1), (0, 2), (1, 2)]
     for seed in range(4):
         rng = Random(seed)
@@ -206,17 +225,17 @@
         target = [0.03]
         plan = network.size(net, target)
         assert plan.point.worst() <= target[0]
-        best = min(
+        fewest = min(
             sum(sizes) for sizes in itertools.product(range(1, 11), repeat=3)
             if sum(sizes) <= plan.cost
             and network.fixed_point(
                 Network(net.nodes, net.widths, net.loads, dict(zip(pairs, sizes, strict=True)), net.reserve)
             ).worst() <= target[0]
         )  # fmt: skip
-        assert plan.cost <= best + 1, (plan.circuits, best)
+        assert plan.cost <= fewest + 1, (plan.circuits, fewest)
 
 
-def test_a_pair_without_a_group_is_sized_over_its_tandem() -> None:
+def test_pair_without_group_is_sized_over_tandem() -> None:
     net = Network(range(3), [1], {(0, 1): [2.0], (0, 2): [1.0], (1, 2): [1.0]}, {(0, 2): 1, (1, 2): 1}, 0)
     plan = network.size(net, [0.02])
     assert plan.point.lost[0, 1][0] <= 0.02 and set(plan.circuits) == {(0, 2), (1, 2)}
@@ -227,30 +246,37 @@
 # -- estimation --------------------------------------------------------------------------------------------
 
 
-def measured(kinds: list[Kind], circuits: int, hours: float, seed: int, **more: object) -> list[Bucket]:
-    """Buckets of a simulated group that knows no formula."""
-    meter, found = Meter({1: circuits}, len(kinds), 0), list[Bucket]()
+def simulate_buckets(
+    kinds: list[Kind], circuits: int, hours: float, seed: int, **options: object
+) -> list[Bucket]:
+    """Buckets of a simulated group; the simulation uses none of the formulas under test."""
+    meter, buckets = Meter({1: circuits}, len(kinds), 0), list[Bucket]()
 
     def roll(at: float) -> None:
-        found.extend(b for _, b in meter.roll(int(at * SECOND), int(at * SECOND)))
+        buckets.extend(b for _, b in meter.roll(int(at * SECOND), int(at * SECOND)))
 
-    play(kinds, circuits, hours * 3600, seed, meter, roll=roll, **more)  # type: ignore[arg-type]
-    return found
+    play(kinds, circuits, hours * 3600, seed, meter, roll=roll, **options)  # type: ignore[arg-type]
+    return buckets
 
 
-def test_an_outage_and_redials_leave_the_load_as_it_is() -> None:
-    """The plain way, tries times holding time, is off by a third and more on the same measurements."""
-    buckets = measured(
+def test_load_estimate_is_unaffected_by_outage_and_redials() -> None:
+    """Guards against counting redials and outage time as load.
+
+    All tries times the holding time would overestimate this load by a third or more.
+    """
+    buckets = simulate_buckets(
         [Kind(12)], 11, 12, 5, redials=Redials(0.7), outages=[Outage(3600, 4 * 3600, 0.3, 0.4)]
     )
     (load,) = loads(buckets, 1)
     assert load.low <= 12 <= load.high and load.high - load.low < 2.5
-    tries = sum(b.classes[0].first + b.classes[0].redials for b in buckets) / (12 * 3600)
-    assert tries * load.hold > 12 * 1.25
-    total = sum(b.classes[0].first + b.classes[0].redials for b in buckets if not b.censored)
-    hours = sum(b.length for b in buckets if not b.censored) / SECOND
-    folded = erlang.first_tries(11, total / hours * load.hold, 0.7)
-    assert folded == pytest.approx(12, rel=0.1), "where redials are not told apart they are folded back"
+    tries_per_second = sum(b.classes[0].first + b.classes[0].redials for b in buckets) / (12 * 3600)
+    assert tries_per_second * load.hold > 12 * 1.25
+    uncensored_tries = sum(b.classes[0].first + b.classes[0].redials for b in buckets if not b.censored)
+    seconds = sum(b.length for b in buckets if not b.censored) / SECOND
+    without_redials = erlang.first_try_load(11, uncensored_tries / seconds * load.hold, 0.7)
+    assert without_redials == pytest.approx(12, rel=0.1), (
+        "redials that are not counted apart are removed from the load"
+    )
 
 
 @pytest.mark.parametrize(
@@ -266,98 +292,105 @@
         ([Kind(10, peaked=6)], 17, 12, Verdict.TOO_SMALL),
     ],
 )  # fmt: skip
-def test_verdicts(kinds: list[Kind], circuits: int, hours: float, verdict: Verdict) -> None:
-    found = judge(measured(kinds, circuits, hours, 3), [k.width for k in kinds], [0.02])
+def test_verdicts_on_simulated_groups(
+    kinds: list[Kind], circuits: int, hours: float, verdict: Verdict
+) -> None:
+    found = judge(simulate_buckets(kinds, circuits, hours, 3), [k.width for k in kinds], [0.02])
     assert found.verdict is verdict, found
     if verdict is Verdict.CANNOT_TELL:
         assert found.hours_more is None or found.hours_more > 0
 
 
-def bucket(hour: int, first: int, lost: int = 0, **more: int) -> Bucket:
-    """An hour of a group of ten whose calls stand 100 s."""
-    held = first - lost
+def hour_bucket(hour: int, first: int, blocked: int = 0, **overrides: int) -> Bucket:
+    """One hour of a group of ten circuits whose calls stand 100 s."""
+    held = first - blocked
     counts = Counts(
-        first=first, blocked_first=lost, held=held, hold=held * 100 * SECOND, standing=held * 100 * SECOND,
+        first=first, blocked_first=blocked, held=held, hold=held * 100 * SECOND, standing=held * 100 * SECOND,
         hold_squared=held * 2.0e4,
     )  # fmt: skip
-    plain = {"circuits": 10, "busy": 0, "in_service": 10 * HOUR} | more
-    return Bucket(hour * HOUR, HOUR, classes=(counts,), **plain)
+    group_figures = {"circuits": 10, "busy": 0, "in_service": 10 * HOUR} | overrides
+    return Bucket(hour * HOUR, HOUR, classes=(counts,), **group_figures)
 
 
-def test_unlucky_is_told_from_too_small() -> None:
-    """Four percent lost of a load that cannot make more than two: a bad hour, not a small group."""
-    buckets = [bucket(h, 120) for h in range(40)] + [bucket(40, 120, 100), bucket(41, 120, 110)]
+def test_unlucky_losses_are_distinguished_from_too_small_group() -> None:
+    """4% of the calls are lost in two bad hours, but the load explains at most 2%: the size is sufficient."""
+    buckets = [hour_bucket(h, 120) for h in range(40)] + [
+        hour_bucket(40, 120, 100),
+        hour_bucket(41, 120, 110),
+    ]
     found = judge(buckets, [1], [0.02])
     assert found.verdict is Verdict.UNLUCKY and (found.measured[0] or 0) > 0.02, found
 
 
-def test_what_proves_nothing_is_not_judged() -> None:
-    every = judge([bucket(h, 100, 60, in_service=4 * HOUR) for h in range(9)], [1], [0.02])
-    assert every.verdict is Verdict.CANNOT_TELL and "censored" in every.why
+def test_no_verdict_from_censored_or_empty_buckets() -> None:
+    all_censored = judge([hour_bucket(h, 100, 60, in_service=4 * HOUR) for h in range(9)], [1], [0.02])
+    assert all_censored.verdict is Verdict.CANNOT_TELL and "censored" in all_censored.why
     assert judge([], [1], [0.02]).verdict is Verdict.CANNOT_TELL
-    full = judge([bucket(h, 0) for h in range(9)], [1], [0.02])
-    assert full.verdict is Verdict.CANNOT_TELL and full.measured == [None]
+    no_tries = judge([hour_bucket(h, 0) for h in range(9)], [1], [0.02])
+    assert no_tries.verdict is Verdict.CANNOT_TELL and no_tries.measured == [None]
 
 
-def test_refusals_of_other_causes_are_load_and_no_blocking() -> None:
+def test_refusals_for_other_causes_count_as_load_but_not_as_blocking() -> None:
     counts = Counts(first=360, refused=300, held=60, hold=60 * 100 * SECOND, standing=60 * 100 * SECOND)
     buckets = [Bucket(h * HOUR, HOUR, 10, 0, 10 * HOUR, classes=(counts,)) for h in range(24)]
     found = judge(buckets, [1], [0.02])
     assert found.measured == [0.0] and found.loads[0].load == pytest.approx(10.0)
-    assert found.verdict is Verdict.TOO_SMALL, "the load is there, whoever turned it away"
+    assert found.verdict is Verdict.TOO_SMALL, "calls refused for other causes count as load"
 
 
-def test_all_blocked_is_too_small_and_gives_no_figure() -> None:
+def test_fully_blocked_class_is_too_small_without_advice() -> None:
     counts = Counts(first=50, blocked_first=50)
     buckets = [Bucket(h * HOUR, HOUR, 2, 0, 2 * HOUR, classes=(counts,)) for h in range(4)]
     found = summarize(1, buckets, Wanted(["wide"], [3], [0.02]))
     assert found.judgement.verdict is Verdict.TOO_SMALL and "none of 200" in found.judgement.why
-    assert found.advice is None, "how long its calls stand nobody has seen"
-    young = judge([Bucket(0, HOUR, 9, 0, 9 * HOUR, classes=(Counts(first=9),))], [1], [0.02])
-    assert young.verdict is Verdict.CANNOT_TELL and "ended" in young.why
+    assert found.advice is None, "without a holding time there is no load to size for"
+    no_call_ended = judge([Bucket(0, HOUR, 9, 0, 9 * HOUR, classes=(Counts(first=9),))], [1], [0.02])
+    assert no_call_ended.verdict is Verdict.CANNOT_TELL and "ended" in no_call_ended.why
 
 
-def test_a_group_that_carries_mostly_overflow_is_sized_with_it() -> None:
+def test_load_of_other_pairs_is_included_in_size() -> None:
     def hour(h: int, others: int) -> Bucket:
-        own = bucket(h, 36)
+        own = hour_bucket(h, 36)
         return replace(own, classes=(replace(own.classes[0], for_others=others),))
 
-    alone = summarize(1, [hour(h, 0) for h in range(24)], Wanted(["a"], [1], [0.02]))
-    loaded = summarize(1, [hour(h, 360) for h in range(24)], Wanted(["a"], [1], [0.02]))
-    assert alone.advice is not None and loaded.advice is not None
-    assert alone.advice.circuits == circuits_for([1.0], [1], [0.02], 1.0)
-    assert loaded.advice.circuits == circuits_for([11.0], [1], [0.02], 1.0)
-    assert alone.judgement.verdict is Verdict.ENOUGH, "ten circuits for one erlang"
-    assert loaded.judgement.verdict is Verdict.TOO_SMALL, "and for eleven, whoever sends them"
+    own_only = summarize(1, [hour(h, 0) for h in range(24)], Wanted(["a"], [1], [0.02]))
+    with_others = summarize(1, [hour(h, 360) for h in range(24)], Wanted(["a"], [1], [0.02]))
+    assert own_only.advice is not None and with_others.advice is not None
+    assert own_only.advice.circuits == circuits_for([1.0], [1], [0.02], 1.0)
+    assert with_others.advice.circuits == circuits_for([11.0], [1], [0.02], 1.0)
+    assert own_only.judgement.verdict is Verdict.ENOUGH, "ten circuits are enough for one erlang"
+    assert with_others.judgement.verdict is Verdict.TOO_SMALL, (
+        "ten circuits are too few for eleven erlangs, including those of other pairs"
+    )
     assert any(
-        "other pairs send 10.00 erlangs" in line for line in explain(loaded, Wanted(["a"], [1], [0.02]))
+        "other pairs send 10.00 erlangs" in line for line in explain(with_others, Wanted(["a"], [1], [0.02]))
     )
 
 
-def test_an_outage_in_the_busy_hour_is_filled_in_from_other_days() -> None:
+def test_outage_in_busy_hour_is_filled_in_from_other_days() -> None:
     def day(number: int, censored: bool) -> list[Bucket]:
-        more = {"in_service": 2 * HOUR} if censored else {}
+        overrides = {"in_service": 2 * HOUR} if censored else {}
         return [
-            bucket(24 * number + h, 30 if censored and h == 11 else 360 if h == 11 else 90,
-                   **(more if h == 11 else {}))
+            hour_bucket(24 * number + h, 30 if censored and h == 11 else 360 if h == 11 else 90,
+                        **(overrides if h == 11 else {}))
             for h in range(24)
         ]  # fmt: skip
 
-    whole = loads(day(0, False) + day(1, False), 1)[0]
-    cut = loads(day(0, False) + day(1, True), 1)[0]
-    assert cut.rate == pytest.approx(whole.rate, rel=1e-9)
+    without_outage = loads(day(0, False) + day(1, False), 1)[0]
+    with_outage = loads(day(0, False) + day(1, True), 1)[0]
+    assert with_outage.rate == pytest.approx(without_outage.rate, rel=1e-9)
 
 
-def test_a_load_that_drifts_is_not_taken_for_peaked() -> None:
+def test_drifting_load_is_not_classified_as_peaked() -> None:
     rng = Random(1)
     steady = [sum(rng.random() < 0.02 for _ in range(5000)) for _ in range(400)]
     drifting = [sum(rng.random() < 0.01 + 0.00005 * i for _ in range(5000)) for i in range(400)]
     assert dispersion(steady, [1] * 400) < 1.2 and dispersion(drifting, [1] * 400) < 1.2
-    burst = [n if i % 2 else 0 for i, n in enumerate(steady)]
-    assert dispersion(burst, [1] * 400) > 20
+    bursts = [n if i % 2 else 0 for i, n in enumerate(steady)]
+    assert dispersion(bursts, [1] * 400) > 20
 
 
-def test_advice_meets_the_target_and_one_module_less_does_not() -> None:
+def test_advised_size_meets_target_and_one_circuit_fewer_does_not() -> None:
     for found, widths in (
         ([Load(8, 7, 9, 0, 0, 1.0, 500)], [1]),
         ([Load(5.3, 5.2, 5.4, 0, 0, 1.0, 500)], [1]),
@@ -374,22 +407,22 @@
     assert advise([Load(0, 0, 0, 0, 0, 1.0, 0)], 4, [1], [0.01]).circuits == 0
 
 
-def test_a_daily_wave_is_no_reason_for_a_wrong_mean() -> None:
-    (load,) = loads(measured([Kind(10)], 30, 48, 2, profile=daily()), 1)
+def test_daily_variation_does_not_bias_load_estimate() -> None:
+    (load,) = loads(simulate_buckets([Kind(10)], 30, 48, 2, profile=daily()), 1)
     assert load.load == pytest.approx(10, rel=0.06)
 
 
 # -- meter and store ---------------------------------------------------------------------------------------
 
 
-def test_the_meter_integrates_and_knows_redials_by_number() -> None:
-    meter = Meter({1: 10}, 1, 0, window=60 * SECOND)
+def test_meter_integrates_times_and_recognises_redials_by_number() -> None:
+    meter = Meter({1: 10}, 1, 0, redial_window=60 * SECOND)
     assert not meter.tried(0, 1, 0, "sip:1", False)
     meter.blocked(1, 0, False, True)
     meter.gave_up(0, 0, "sip:1")
-    assert meter.tried(5 * SECOND, 1, 0, "sip:1", False), "the number that was refused a moment ago"
-    assert not meter.tried(6 * SECOND, 1, 0, "sip:1", False), "and only once"
-    assert meter.tried(7 * SECOND, 1, 0, "sip:9", True), "as its caller says"
+    assert meter.tried(5 * SECOND, 1, 0, "sip:1", False), "a call to a number refused 5 s ago is a redial"
+    assert not meter.tried(6 * SECOND, 1, 0, "sip:1", False), "a refusal makes only one later call a redial"
+    assert meter.tried(7 * SECOND, 1, 0, "sip:9", True), "a call marked by its caller is a redial"
     meter.level(10 * SECOND, 1, 10, 10)
     meter.stands(10 * SECOND, 1, 0)
     meter.level(20 * SECOND, 1, 4, 8)
@@ -402,38 +435,38 @@
     (counts,) = found.classes
     assert (counts.first, counts.redials, counts.blocked_first, counts.overflowed) == (2, 2, 1, 1)
     assert (counts.held, counts.hold, counts.standing) == (1, 30 * SECOND, 30 * SECOND)
-    assert meter.holds(1, 0).get_value_at_percentile(50) == pytest.approx(30_000, rel=0.02)
+    assert meter.holding_times(1, 0).get_value_at_percentile(50) == pytest.approx(30_000, rel=0.02)
     assert list(meter.roll(60 * SECOND, 0)) == []
-    again = Meter({1: 10}, 1, 0)
-    again.resume(meter.encoded() | {(9, 0): b"of a group that is gone", (1, 0): meter.encoded()[1, 0]})
-    again.ended(0, 1, 0, 30 * SECOND)
-    assert again.holds(1, 0).get_total_count() == 2, "holding times go on over a restart"
-    again.resume({(1, 0): b"damaged"})
-    assert again.holds(1, 0).get_total_count() == 2
+    restarted = Meter({1: 10}, 1, 0)
+    restarted.resume(meter.encoded() | {(9, 0): b"of a group that is gone", (1, 0): meter.encoded()[1, 0]})
+    restarted.ended(0, 1, 0, 30 * SECOND)
+    assert restarted.holding_times(1, 0).get_total_count() == 2, "holding times are kept over a restart"
+    restarted.resume({(1, 0): b"damaged"})
+    assert restarted.holding_times(1, 0).get_total_count() == 2
     for n in range(20_000):
         meter.gave_up(61 * SECOND, 0, f"sip:{n}")
-    assert len(meter.refused_at) == 10_000, "bounded"
+    assert len(meter.refused_at) == 10_000, "the list of refused numbers is bounded"
 
 
-def test_the_store_survives_a_restart_and_a_clock_set_back(tmp_path: Path) -> None:
+def test_store_survives_restart_and_clock_set_back(tmp_path: Path) -> None:
     path = tmp_path / "m.db"
     store = Store(path)
     store.describe(exchange="4")
-    store.add([(1, bucket(5, 10)), (2, bucket(5, 20))])
-    store.add([(1, bucket(3, 30))])  # two hours back: it stands beside the other, not over it
-    store.add([(1, bucket(5, 40))])
+    store.add([(1, hour_bucket(5, 10)), (2, hour_bucket(5, 20))])
+    store.add([(1, hour_bucket(3, 30))])  # clock set back two hours: added, nothing overwritten
+    store.add([(1, hour_bucket(5, 40))])
     store.keep_holds({(1, 0): b"first"})
     store.keep_holds({(1, 0): b"latest", (2, 0): b"other"})
     store.close()
     store = Store(path)
     assert store.holds() == {(1, 0): b"latest", (2, 0): b"other"}
-    assert store.meta() == {"exchange": "4"} and store.groups() == [1, 2]
+    assert store.read_meta() == {"exchange": "4"} and store.groups() == [1, 2]
     assert [b.classes[0].first for b in store.buckets(1)] == [10, 30, 40]
-    assert store.buckets(2) == [bucket(5, 20)]
+    assert store.buckets(2) == [hour_bucket(5, 20)]
     assert [b.classes[0].first for b in store.buckets(1, since=4 * HOUR)] == [10, 40]
 
 
-def test_old_buckets_are_thinned_and_outages_stay_outages(tmp_path: Path) -> None:
+def test_downsampling_keeps_sums_and_outages(tmp_path: Path) -> None:
     store = Store(tmp_path / "m.db")
     minute = HOUR // 60
     for n in range(3 * 24 * 60):
@@ -449,30 +482,30 @@
     assert sum(b.classes[0].first for b in after) == 2 * 3 * 24 * 60
     assert sum(b.length for b in after if b.censored) == 10 * minute
     assert [b.start for b in after] == sorted(b.start for b in after)
-    assert store.thin(3 * 24 * HOUR) == 0, "once is enough"
+    assert store.thin(3 * 24 * HOUR) == 0, "a second run finds nothing to join"
 
 
 @pytest.mark.parametrize("damage", ["garbage", "truncated", "overwritten"])
-def test_a_damaged_store_is_put_aside_and_begun_anew(tmp_path: Path, damage: str) -> None:
+def test_damaged_store_is_renamed_and_recreated(tmp_path: Path, damage: str) -> None:
     path = tmp_path / "m.db"
     store = Store(path)
     for h in range(200):
-        store.add([(1, bucket(h, 10))])
+        store.add([(1, hour_bucket(h, 10))])
     store.db.execute("PRAGMA wal_checkpoint(TRUNCATE)")
     store.close()
-    whole = path.read_bytes()
+    intact = path.read_bytes()
     path.write_bytes({
         "garbage": b"not a database at all" * 300,
-        "truncated": whole[: len(whole) // 2],
-        "overwritten": whole[:5000] + b"\xff" * 20_000 + whole[25_000:],
+        "truncated": intact[: len(intact) // 2],
+        "overwritten": intact[:5000] + b"\xff" * 20_000 + intact[25_000:],
     }[damage])  # fmt: skip
-    again = Store(path)
-    assert again.put_aside is not None and again.put_aside.exists() and again.groups() == []
-    again.add([(1, bucket(1, 5))])
-    assert len(again.buckets(1)) == 1
+    recreated = Store(path)
+    assert recreated.put_aside is not None and recreated.put_aside.exists() and recreated.groups() == []
+    recreated.add([(1, hour_bucket(1, 5))])
+    assert len(recreated.buckets(1)) == 1
 
 
-def test_a_store_that_cannot_be_had_says_so(tmp_path: Path) -> None:
+def test_store_in_missing_folder_raises_error(tmp_path: Path) -> None:
     with pytest.raises(sqlite3.Error):
         Store(tmp_path / "nowhere" / "m.db")
 
@@ -488,7 +521,7 @@
 
 
 @pytest.mark.parametrize("case", CASES, ids=lambda c: c.name)
-def test_what_the_call_server_measures_is_the_load_that_was_offered(case: lab.Case) -> None:
+def test_call_server_measures_the_offered_load(case: lab.Case) -> None:
     outcome = lab.run(case, 2)
     assert outcome.verdict.kept and not (outcome.left_calls or outcome.left_circuits or outcome.errors)
     found = loads(outcome.buckets, len(case.kinds))
@@ -502,8 +535,8 @@
 
 
 @pytest.mark.parametrize("circuits", [4, 30])
-def test_the_advised_size_is_installed_while_calls_stand(circuits: int) -> None:
-    """A growing and a shrinking group: no call is cut, no circuit left, the rules kept."""
+def test_resizing_to_advised_size_cuts_no_standing_calls(circuits: int) -> None:
+    """One group grows, one shrinks: no call is cut, no circuit stays busy and no rule is broken."""
     case = lab.Case("resized", (Kind(6, hold=3),), circuits, 240, after=150)
     outcome = lab.run(case, 4)
     assert outcome.verdict.kept and not (outcome.left_calls or outcome.left_circuits or outcome.errors)
@@ -512,7 +545,7 @@
     assert outcome.lost(outcome.after, 0) < 0.08
 
 
-SITE = """
+SETTINGS_SCRIPT = """
 number = 0
 listen = "127.0.0.1:0"
 context = "midlands"
@@ -523,33 +556,35 @@
 """
 
 
-def test_the_commands_read_beside_the_server_and_write_nothing(tmp_path: Path) -> None:
-    path, site = tmp_path / "m.db", tmp_path / "site.star"
-    site.write_text(SITE.replace("{store}", str(path)))
+def test_size_commands_only_read_the_store(tmp_path: Path) -> None:
+    store_path, settings_path = tmp_path / "m.db", tmp_path / "site.star"
+    settings_path.write_text(SETTINGS_SCRIPT.replace("{store}", str(store_path)))
     runner = CliRunner()
-    empty = runner.invoke(app, ["size", "measure", str(site)])
-    assert empty.exit_code == 2 and "has the call server run" in empty.output
-    store = Store(path)
+    no_store = runner.invoke(app, ["size", "measure", str(settings_path)])
+    assert no_store.exit_code == 2 and "has the call server run" in no_store.output
+    store = Store(store_path)
     for h in range(48):
-        store.add([(1, bucket(h, 360, 90)), (2, bucket(h, 30))])
+        store.add([(1, hour_bucket(h, 360, 90)), (2, hour_bucket(h, 30))])
     before = store.buckets(1)
-    told = json.loads(runner.invoke(app, ["size", "recommend", str(site), "--json"]).output)
-    assert [g["verdict"] for g in told] == ["too small", "enough"]
-    assert told[0]["advised"]["circuits"] == 18 and told[0]["advised"]["cost"] == 8
-    lines = runner.invoke(app, ["size", "explain", str(site), "1"]).output
-    assert "load 10.00 erlangs" in lines and "Erlang B(10, 10.00) = 0.2146" in lines
-    tried = runner.invoke(app, ["size", "what-if", str(site), "1", "17", "--factor", "0.5"]).output
-    assert "17" in tried and "0.0184" in tried, "five erlangs on ten circuits"
-    wrong = runner.invoke(app, ["size", "explain", str(site), "7"])
-    assert wrong.exit_code == 2 and "allowed: 1, 2" in wrong.output
-    page = tmp_path / "page.html"
-    assert runner.invoke(app, ["size", "report", str(site), "--out", str(page)]).exit_code == 0
-    text = page.read_text()
-    assert text.count("data:image/png;base64,") == 2 and "too small" in text and "http" not in text
+    groups = json.loads(runner.invoke(app, ["size", "recommend", str(settings_path), "--json"]).output)
+    assert [g["verdict"] for g in groups] == ["too small", "enough"]
+    assert groups[0]["advised"]["circuits"] == 18 and groups[0]["advised"]["cost"] == 8
+    explanation = runner.invoke(app, ["size", "explain", str(settings_path), "1"]).output
+    assert "load 10.00 erlangs" in explanation and "Erlang B(10, 10.00) = 0.2146" in explanation
+    what_if = runner.invoke(app, ["size", "what-if", str(settings_path), "1", "17", "--factor", "0.5"]).output
+    assert "17" in what_if and "0.0184" in what_if, "0.0184 is the blocking of five erlangs on ten circuits"
+    unknown_group = runner.invoke(app, ["size", "explain", str(settings_path), "7"])
+    assert unknown_group.exit_code == 2 and "allowed: 1, 2" in unknown_group.output
+    html_path = tmp_path / "page.html"
+    assert runner.invoke(app, ["size", "report", str(settings_path), "--out", str(html_path)]).exit_code == 0
+    html = html_path.read_text()
+    assert html.count("data:image/png;base64,") == 2 and "too small" in html and "http" not in html
     assert store.buckets(1) == before
     store.close()
-    path.write_bytes(b"no database" * 500)
-    damaged = runner.invoke(app, ["size", "measure", str(site)])
-    said = " ".join(damaged.output.replace("\u2502", " ").split())
-    assert damaged.exit_code == 2 and "cannot be read: file is not a database" in said
-    assert path.exists() and len(list(tmp_path.glob("m.db.damaged*"))) == 0, "a reader puts nothing aside"
+    store_path.write_bytes(b"no database" * 500)
+    damaged = runner.invoke(app, ["size", "measure", str(settings_path)])
+    message = " ".join(damaged.output.replace("\u2502", " ").split())
+    assert damaged.exit_code == 2 and "cannot be read: file is not a database" in message
+    assert store_path.exists() and len(list(tmp_path.glob("m.db.damaged*"))) == 0, (
+        "a read-only command does not rename a damaged store"
+    )
