--- a/eiderstep/cli/experiment.py
+++ b/eiderstep/cli/experiment.py
@@ -171,10 +171,10 @@
         differences = compare_runs(first_runs, second_runs)
     except ValueError as problem:
         raise typer.BadParameter(str(problem)) from None
-    show_differences(differences)
+    print_differences(differences)
 
 
-def show_differences(differences: list[Difference]) -> None:
+def print_differences(differences: list[Difference]) -> None:
     from rich.console import Console
     from rich.table import Table
 
--- a/eiderstep/cli/logs.py
+++ b/eiderstep/cli/logs.py
@@ -10,7 +10,7 @@
 from eiderstep.server.doors import Logger
 
 
-def logger(console: bool, verbose: bool = False) -> Logger:
+def make_logger(console: bool, verbose: bool = False) -> Logger:
     """Configure structlog; return the function that the server, the engine and the lab log through.
 
     Its arguments are level, event, call id (empty: none) and fields.  `verbose` also passes level debug.
--- a/eiderstep/cli/serve.py
+++ b/eiderstep/cli/serve.py
@@ -7,7 +7,7 @@
 
 import typer
 
-from eiderstep.cli.logs import logger
+from eiderstep.cli.logs import make_logger
 from eiderstep.config import load_settings
 from eiderstep.server import process
 
@@ -22,4 +22,4 @@
 ) -> None:
     """Run a call server until SIGTERM; then answer the pending calls, drain and exit."""
     loaded = load_settings(settings)
-    process.serve(loaded, logger(console, verbose), capture, verbose, lambda: load_settings(settings))
+    process.serve(loaded, make_logger(console, verbose), capture, verbose, lambda: load_settings(settings))
--- a/eiderstep/cli/size.py
+++ b/eiderstep/cli/size.py
@@ -48,7 +48,7 @@
     if not Path(sizing.store).is_file():
         raise typer.BadParameter(f"sizing.store: found {sizing.store!r}, no file; has the call server run?")
     class_names = [c.name for c in settings.classes]
-    wanted = summary.Wanted(
+    goals = summary.Wanted(
         class_names, [c.width for c in settings.classes],
         [sizing.targets.get(name, sizing.target) for name in class_names], sizing.module, sizing.price,
     )  # fmt: skip
@@ -68,8 +68,8 @@
             if days and buckets:
                 since = buckets[-1].start + buckets[-1].length - int(days * 24 * HOUR)
                 buckets = [b for b in buckets if b.start >= since]
-            groups[number] = summary.summarize(number, buckets, wanted, busy_hour)
-    return wanted, groups
+            groups[number] = summary.summarize(number, buckets, goals, busy_hour)
+    return goals, groups
 
 
 def _read_holding_times(path: Path) -> dict[tuple[int, int], HdrHistogram]:
@@ -79,7 +79,7 @@
         return {key: HdrHistogram.decode(data) for key, data in store.holds().items()}
 
 
-def _table(title: str, columns: list[str], rows: list[list[str]]) -> None:
+def _print_table(title: str, columns: list[str], rows: list[list[str]]) -> None:
     table = Table(title=title)
     for column in columns:
         table.add_column(column)
@@ -94,13 +94,13 @@
     settings: Settings, days: Days = 0.0, busy_hour: BusyHourOption = False, as_json: JsonOption = False
 ) -> None:
     """Show what was measured of each group: loads with intervals, blocking measured and expected."""
-    wanted, groups = _summarize_groups(settings, days, busy_hour)
+    goals, groups = _summarize_groups(settings, days, busy_hour)
     if as_json:
-        _print_json(wanted, groups)
+        _print_json(goals, groups)
         return
     rows = []
     for group in groups.values():
-        for c, name in enumerate(wanted.classes):
+        for c, name in enumerate(goals.classes):
             load = group.judgement.loads[c]
             low, middle, high = group.judgement.expected[c]
             blocking = group.judgement.measured[c]
@@ -112,7 +112,7 @@
                 f"{load.hold:.1f}", blocking_text,
                 f"{middle:.4f} ({low:.4f} to {high:.4f})",
             ])  # fmt: skip
-    _table(
+    _print_table(
         "measured",
         [
             "toward",
@@ -135,9 +135,9 @@
     settings: Settings, days: Days = 0.0, busy_hour: BusyHourOption = False, as_json: JsonOption = False
 ) -> None:
     """Show the verdict on each group and how many circuits it needs."""
-    wanted, groups = _summarize_groups(settings, days, busy_hour)
+    goals, groups = _summarize_groups(settings, days, busy_hour)
     if as_json:
-        _print_json(wanted, groups)
+        _print_json(goals, groups)
         return
     rows = []
     for group in groups.values():
@@ -156,7 +156,9 @@
                 judgement.why,
             ]
         )
-    _table("advised", ["toward", "circuits", "verdict", "advised", "cost", "overflow, erlangs", "why"], rows)
+    _print_table(
+        "advised", ["toward", "circuits", "verdict", "advised", "cost", "overflow, erlangs", "why"], rows
+    )
 
 
 @app.command()
@@ -167,10 +169,10 @@
     """Show step by step how the verdict on one group follows from its counts."""
     from eiderstep.sizing import summary
 
-    wanted, groups = _summarize_groups(settings, days, busy_hour, group)
+    goals, groups = _summarize_groups(settings, days, busy_hour, group)
     holding_times = _read_holding_times(settings)
-    print("\n".join(summary.explain(groups[group], wanted)))
-    for c, name in enumerate(wanted.classes):
+    print("\n".join(summary.explain(groups[group], goals)))
+    for c, name in enumerate(goals.classes):
         histogram = holding_times.get((group, c))
         if histogram is not None:
             p50, p90, p99 = (histogram.get_value_at_percentile(p) / 1000 for p in (50, 90, 99))
@@ -187,22 +189,22 @@
     """Show the blocking of each class with another size or another load."""
     from eiderstep.sizing import summary
 
-    wanted, groups = _summarize_groups(settings, days, busy_hour, group)
+    goals, groups = _summarize_groups(settings, days, busy_hour, group)
     scaled = summary.scale_load(groups[group], factor)
     rows = []
     for size, low, middle, high in summary.blocking_curves(
-        scaled, wanted, sorted({scaled.circuits, circuits})
+        scaled, goals, sorted({scaled.circuits, circuits})
     ):
-        for c, name in enumerate(wanted.classes):
+        for c, name in enumerate(goals.classes):
             rows.append(
                 [
                     str(size),
                     name,
                     f"{middle[c]:.4f} ({low[c]:.4f} to {high[c]:.4f})",
-                    f"{wanted.targets[c]:g}",
+                    f"{goals.targets[c]:g}",
                 ]
             )
-    _table(f"group toward {group}", ["circuits", "class", "lost", "wanted"], rows)
+    _print_table(f"group toward {group}", ["circuits", "class", "lost", "wanted"], rows)
 
 
 @app.command()
@@ -213,8 +215,8 @@
     """Write an HTML page with tables, blocking measured against the curve, and traffic by hour."""
     from eiderstep.sizing import report as html_report
 
-    wanted, groups = _summarize_groups(settings, days, busy_hour)
-    out.write_text(html_report.page(load_settings(settings).number, groups, wanted), encoding="utf-8")
+    goals, groups = _summarize_groups(settings, days, busy_hour)
+    out.write_text(html_report.page(load_settings(settings).number, groups, goals), encoding="utf-8")
     print(f"{out}: {len(groups)} groups")
 
 
@@ -240,11 +242,11 @@
     sys.exit(0 if good else 1)
 
 
-def _print_json(wanted: Wanted, groups: dict[int, GroupSummary]) -> None:
-    print(json.dumps([_group_as_json(wanted, group) for group in groups.values()]))
+def _print_json(goals: Wanted, groups: dict[int, GroupSummary]) -> None:
+    print(json.dumps([_group_as_json(goals, group) for group in groups.values()]))
 
 
-def _group_as_json(wanted: Wanted, group: GroupSummary) -> dict[str, Any]:
+def _group_as_json(goals: Wanted, group: GroupSummary) -> dict[str, Any]:
     judgement, advice = group.judgement, group.advice
     return {
         "toward": group.number, "circuits": group.circuits, "hours": group.hours,
@@ -255,9 +257,9 @@
             {
                 "class": name, "erlangs": load.load, "low": load.low, "high": load.high, "hold": load.hold,
                 "first_tries": load.first_tries, "lost": judgement.measured[c],
-                "expected": judgement.expected[c][1], "target": wanted.targets[c],
+                "expected": judgement.expected[c][1], "target": goals.targets[c],
             }
-            for c, (name, load) in enumerate(zip(wanted.classes, judgement.loads, strict=True))
+            for c, (name, load) in enumerate(zip(goals.classes, judgement.loads, strict=True))
         ],
         "advised": None if advice is None else {
             "circuits": advice.circuits, "low": advice.low, "high": advice.high, "cost": advice.cost,
--- a/eiderstep/sizing/meter.py
+++ b/eiderstep/sizing/meter.py
@@ -1,7 +1,7 @@
 """Measures the trunk groups of a call server in buckets of time; no I/O, no import of numpy or scipy.
 
 Memory holds only the open bucket of each group and a bounded list of recently refused numbers.  Times are
-integer ns of the caller's clock; `roll` also takes the wall clock.
+integer ns of the caller's clock; the wall clock is given when the buckets are closed.
 """
 
 from __future__ import annotations
@@ -141,7 +141,7 @@
             state.classes[cls].standing_calls += 1
 
     def ended(self, now: int, group: int, cls: int, hold: int) -> None:
-        """Record the end of a call counted by `stands`, with its holding time (ns)."""
+        """Record the end of a call that was counted as standing, with its holding time (ns)."""
         state = self.groups.get(group)
         if state is not None:
             state.advance(now)
--- a/eiderstep/sizing/network.py
+++ b/eiderstep/sizing/network.py
@@ -105,24 +105,24 @@
         matrices[:, one, other] = matrices[:, other, one] = values
         return matrices
 
-    def overflow_loads(self, direct: Array, free: Array) -> Array:
+    def overflow_loads(self, direct: Array, passing: Array) -> Array:
         """Overflow offered to each group, by class, from all pairs for which the group is a leg to a tandem.
 
-        `direct` is the blocking of direct calls, `free` the probability that a group accepts an overflow
-        call.
+        `direct` is the blocking of direct calls, `passing` the probability that a group accepts an
+        overflow call.
         """
         blocked = np.where(self.linked[None] > 0, self.to_matrices(direct), 1.0)
         share = self.loads * blocked / np.maximum(self.tandem_counts, 1.0) * (self.tandem_counts > 0)
         # A call of (i, j) over tandem k is load on (i, k) if (k, j) accepts it, and on (k, j) if (i, k) does.
-        onto = share @ free
-        both = (onto + onto.transpose(0, 2, 1)) * self.linked[None]
+        first_leg_loads = share @ passing
+        leg_loads = (first_leg_loads + first_leg_loads.transpose(0, 2, 1)) * self.linked[None]
         one, other = self.group_ends.T
-        return np.asarray(both[:, one, other])
+        return np.asarray(leg_loads[:, one, other])
 
-    def losses(self, direct: Array, free: Array) -> Array:
+    def losses(self, direct: Array, passing: Array) -> Array:
         """Share of each pair's calls that find no route, by class."""
         blocked = np.where(self.linked[None] > 0, self.to_matrices(direct), 1.0)
-        through = (free @ free) / np.maximum(self.tandem_counts, 1.0) * (self.tandem_counts > 0)
+        through = (passing @ passing) / np.maximum(self.tandem_counts, 1.0) * (self.tandem_counts > 0)
         return np.asarray(blocked * (1.0 - through))
 
 
@@ -178,9 +178,9 @@
                 rate = own_load[cls] + np.where(busy <= sizes - reserved, overflow_load[cls], 0.0)
                 total += rate * widths[cls] * q[busy - widths[cls]]
         q[busy] = np.where(busy <= sizes, total / busy, 0.0)
-        too_large = q[busy] > 1e200
-        if too_large.any():
-            q[: busy + 1, too_large] /= q[busy, too_large]
+        to_rescale = q[busy] > 1e200
+        if to_rescale.any():
+            q[: busy + 1, to_rescale] /= q[busy, to_rescale]
     q /= q.sum(axis=0)
     tail_sums = np.cumsum(q[::-1], axis=0)[::-1]  # P(busy >= x); 0 beyond the size
     columns = np.arange(len(sizes))
@@ -209,10 +209,9 @@
     First the groups grow: each pair that misses a target gets a module more, until no pair misses one; a pair
     without a group of its own enlarges the worst leg of its tandem routes.  Then modules are removed as long
     as all targets are met: from half of the groups at once, then from smaller batches, finally from single
-    groups, the most expensive first.  `looks` limits the fixed points computed for the removal; if it is
-    reached, some groups keep more circuits than needed, never fewer.  The result is a local optimum; the
-    tests compare it
-    with exhaustive search.  Raises ValueError if a pair has no route at all.
+    groups, the most expensive first.  The number of fixed points computed for the removal is limited; if the
+    limit is reached, some groups keep more circuits than needed, never fewer.  The result is a local optimum;
+    the tests compare it with exhaustive search.  Raises ValueError if a pair has no route at all.
     """
     prices = costs or {}
 
--- a/eiderstep/sizing/report.py
+++ b/eiderstep/sizing/report.py
@@ -42,7 +42,7 @@
 <td>{% if g.advice %}{{ "%+g"|format(g.advice.cost) }}{% else %}-{% endif %}</td></tr>
 {% endfor %}</table>
 <h2>Traffic from exchange {{ number }}, erlangs</h2>
-<table><tr><th>toward</th>{% for c in wanted.classes %}<th>{{ c }}</th>{% endfor %}</tr>
+<table><tr><th>toward</th>{% for c in goals.classes %}<th>{{ c }}</th>{% endfor %}</tr>
 {% for other, loads in loads_by_exchange %}<tr><td>exchange {{ other }}</td>
 {% for a in loads %}<td>{{ "%.2f"|format(a) }}</td>{% endfor %}</tr>
 {% endfor %}</table>
@@ -54,27 +54,27 @@
 """
 
 
-def page(number: int, groups: Mapping[int, GroupSummary], wanted: Wanted) -> str:
+def page(number: int, groups: Mapping[int, GroupSummary], goals: Wanted) -> str:
     """Render the page on all groups of the exchange `number`."""
     template = jinja2.Environment(autoescape=True, undefined=jinja2.StrictUndefined).from_string(TEMPLATE)
     return template.render(
-        number=number, groups=list(groups.values()), wanted=wanted,
+        number=number, groups=list(groups.values()), goals=goals,
         loads_by_exchange=summary.loads_by_exchange(groups),
-        lines={n: summary.explain(g, wanted) for n, g in groups.items()},
-        plots={n: plot_png(g, wanted) for n, g in groups.items()},
+        lines={n: summary.explain(g, goals) for n, g in groups.items()},
+        plots={n: plot_png(g, goals) for n, g in groups.items()},
     )  # fmt: skip
 
 
-def plot_png(group: GroupSummary, wanted: Wanted) -> str:
+def plot_png(group: GroupSummary, goals: Wanted) -> str:
     """Plot blocking by size, with its interval and the measured value, and first tries by hour.
 
     Returns the PNG in base64.
     """
     figure = Figure(figsize=(10, 3.6), dpi=90, layout="constrained")
     blocking_axes, tries_axes = figure.subplots(1, 2)
-    rows = summary.blocking_curves(group, wanted, summary.sizes_to_plot(group))
+    rows = summary.blocking_curves(group, goals, summary.sizes_to_plot(group))
     sizes = [row[0] for row in rows]
-    for cls, name in enumerate(wanted.classes):
+    for cls, name in enumerate(goals.classes):
         if not group.judgement.loads[cls].first_tries:
             continue
         (curve,) = blocking_axes.plot(sizes, [row[2][cls] for row in rows], label=f"{name}, by the formulas")
@@ -85,7 +85,7 @@
             alpha=0.2,
             color=curve.get_color(),
         )
-        blocking_axes.axhline(wanted.targets[cls], linestyle=":", color=curve.get_color())
+        blocking_axes.axhline(goals.targets[cls], linestyle=":", color=curve.get_color())
         measured_blocking = group.judgement.measured[cls]
         if measured_blocking is not None:
             blocking_axes.plot(
--- a/eiderstep/sizing/store.py
+++ b/eiderstep/sizing/store.py
@@ -43,7 +43,7 @@
         """Open the file, or create it; raises OSError or sqlite3.Error if that is impossible.
 
         `read_only`: for a reader beside the call server that writes the file; a damaged file is then left in
-        place and raises DatabaseError.  Otherwise it is renamed, and `put_aside` is its new path.
+        place and raises DatabaseError.  Otherwise it is renamed, and its new path is kept as an attribute.
         """
         self.path = path
         self.put_aside: Path | None = None
@@ -92,7 +92,7 @@
         self.db.executemany("INSERT OR REPLACE INTO meta VALUES (?, ?)", list(meta.items()))
 
     def read_meta(self) -> dict[str, str]:
-        """The values stored by `describe`."""
+        """The stored values that describe the file, by name."""
         return dict(self.db.execute("SELECT name, value FROM meta").fetchall())
 
     def add(self, closed: Iterable[tuple[int, Bucket]]) -> None:
@@ -131,7 +131,7 @@
         )
 
     def holds(self) -> dict[tuple[int, int], bytes]:
-        """The holding times last stored by `keep_holds`."""
+        """The stored holding times by group and class, as encoded HDR histograms."""
         return {
             (group, cls): histogram
             for group, cls, histogram in self.db.execute("SELECT grp, cls, histogram FROM holds")
--- a/eiderstep/sizing/summary.py
+++ b/eiderstep/sizing/summary.py
@@ -43,17 +43,15 @@
     all_buckets: Sequence[Bucket]  # of all hours of the day
 
 
-def summarize(
-    number: int, buckets: Sequence[Bucket], wanted: Wanted, busy_hour: bool = False
-) -> GroupSummary:
+def summarize(number: int, buckets: Sequence[Bucket], goals: Wanted, busy_hour: bool = False) -> GroupSummary:
     """Judge and size one group; `busy_hour`: only for the hour of the day with the most first tries."""
-    busiest_hour = busiest(buckets)
+    peak_hour = busiest(buckets)
     judged_buckets = (
-        [bucket for bucket in buckets if bucket.start // HOUR % DAY_HOURS == busiest_hour]
-        if busy_hour and busiest_hour is not None
+        [bucket for bucket in buckets if bucket.start // HOUR % DAY_HOURS == peak_hour]
+        if busy_hour and peak_hour is not None
         else buckets
     )
-    judgement = judge(judged_buckets, wanted.widths, wanted.targets, names=wanted.classes)
+    judgement = judge(judged_buckets, goals.widths, goals.targets, names=goals.classes)
     length = sum(bucket.length for bucket in judged_buckets)
     service_time = sum(bucket.in_service for bucket in judged_buckets)
     circuits = buckets[-1].circuits if buckets else 0
@@ -64,10 +62,10 @@
         advice = advise(
             judgement.loads,
             circuits,
-            wanted.widths,
-            wanted.targets,
-            wanted.module,
-            wanted.price,
+            goals.widths,
+            goals.targets,
+            goals.module,
+            goals.price,
             judgement.other_streams,
         )
     return GroupSummary(
@@ -75,7 +73,7 @@
         sum(bucket.length for bucket in judged_buckets if bucket.censored) / length if length else 0.0,
         sum(bucket.busy for bucket in judged_buckets) / service_time if service_time else 0.0,
         sum(bucket.full for bucket in judged_buckets) / length if length else 0.0,
-        judgement, advice, group_peakedness(judgement.loads), busiest_hour, judged_buckets, buckets,
+        judgement, advice, group_peakedness(judgement.loads), peak_hour, judged_buckets, buckets,
     )  # fmt: skip
 
 
@@ -103,7 +101,7 @@
 
 
 def blocking_curves(
-    group: GroupSummary, wanted: Wanted, sizes: Sequence[int]
+    group: GroupSummary, goals: Wanted, sizes: Sequence[int]
 ) -> list[tuple[int, list[float], list[float], list[float]]]:
     """Rows of a size and each class's blocking at the low end, the estimate and the high end of its load."""
     class_loads = group.judgement.loads
@@ -113,7 +111,7 @@
             blocking(
                 size,
                 [getattr(load, name) for load in class_loads],
-                wanted.widths,
+                goals.widths,
                 group.peakedness,
                 group.judgement.other_streams,
             )
@@ -131,7 +129,7 @@
     return sorted({*range(low, high + 1, step), group.circuits})
 
 
-def explain(group: GroupSummary, wanted: Wanted) -> list[str]:
+def explain(group: GroupSummary, goals: Wanted) -> list[str]:
     """Explain how the verdict follows from the counts, one step per line."""
     judgement, uncensored = group.judgement, [bucket for bucket in group.buckets if not bucket.censored]
     lines = [
@@ -140,7 +138,7 @@
         f"busy {100 * group.occupancy:.1f}% of circuit-time, "
         f"all busy {100 * group.full_share:.2f}% of the time",
     ]
-    for cls, name in enumerate(wanted.classes):
+    for cls, name in enumerate(goals.classes):
         if cls >= len(judgement.loads) or not judgement.loads[cls].first_tries:
             lines.append(f"class {name}: no tries seen")
             continue
@@ -158,13 +156,13 @@
             f"{redials} redials not counted, {refused} refused for other causes than circuits"
         )
         lines.append(
-            f"  mean holding time {load.hold:.1f} s, width {wanted.widths[cls]}; "
+            f"  mean holding time {load.hold:.1f} s, width {goals.widths[cls]}; "
             f"load {load.load:.2f} erlangs, 90% interval {load.low:.2f} to {load.high:.2f}; "
             f"index of dispersion {load.dispersion:.2f}"
         )
         lines.append(
             f"  {blocked} first tries found no circuit ({_format_share(judgement.measured[cls])}); "
-            f"expected at this size {middle:.4f}, {low:.4f} to {high:.4f}; wanted {wanted.targets[cls]:g}"
+            f"expected at this size {middle:.4f}, {low:.4f} to {high:.4f}; wanted {goals.targets[cls]:g}"
         )
     for stream in judgement.other_streams:
         lines.append(f"other pairs send {stream.load:.2f} erlangs of width {stream.width} over it")
@@ -173,7 +171,7 @@
             f"peakedness {group.peakedness:.2f}"
             + (", by Hayward's scaling" if group.peakedness > 1.2 else "")
         )
-    single_circuit_class = len(judgement.loads) == 1 and wanted.widths[0] == 1 and group.peakedness <= 1.2
+    single_circuit_class = len(judgement.loads) == 1 and goals.widths[0] == 1 and group.peakedness <= 1.2
     if single_circuit_class and group.circuits and math.isfinite(judgement.loads[0].load):
         lines.append(f"Erlang B({group.circuits}, {judgement.loads[0].load:.2f}) = "
                      f"{erlang_b(group.circuits, judgement.loads[0].load):.4f}")  # fmt: skip
