--- a/eiderstep/lab/emulator/__init__.py
+++ b/eiderstep/lab/emulator/__init__.py
@@ -1,1 +1,1 @@
-"""The emulator: hosts that pause or are busy, troubles that compose, scenarios drawn from ranges."""
+"""The emulator: hosts that pause or are busy, troubles that can overlap, scenarios with drawn figures."""
--- a/eiderstep/lab/emulator/bound.py
+++ b/eiderstep/lab/emulator/bound.py
@@ -1,15 +1,16 @@
-"""What capacity would have allowed, had a day's troubles been known: a linear programme over fluid calls.
-
-Windows of `STEP`; in each, calls of one class from one exchange to another are carried direct or over a
-tandem, in time or late. Kept within: what was asked for; circuits of each group, where calls leave
-exponentially; all circuits out of the origin and into the destination for those over tandems (which single
-groups carry them is left open, so that the figure can only be too high); work of each destination's
-processor, with a queue; and nothing to who is dead, hung, frozen or cut off. Calls of other exchanges' own
-are left out, which again only helps. The goal is the day's own, worst window and worst class with it.
-Solved with HiGHS. After the fluid limits of loss networks: F. Kelly, "Loss networks", Annals of Applied
-Probability 1 (1991).
-
-The fluid has no chance in it: a day that was lucky can come out above the bound by a hair.
+"""Upper bound of a day's service: a linear programme over fluid calls that knows all troubles in advance.
+
+Time is divided into steps of `STEP_SECONDS`.  In each step, calls of one class from one exchange to another
+are carried over the direct route or over a tandem, in time or late.  The constraints are: the calls offered;
+the circuits of each trunk group for direct calls, with exponential holding times; the sum of the circuits out
+of the origin and into the destination for all calls, where the single groups that tandem calls use are left
+open, so that the bound can only be too high; the work of each destination's processor, with a queue; and no
+calls to an exchange that is down, hung, frozen or cut off.  Calls that other exchanges originate are left
+out, which also can only raise the bound.  The objective is that of the day, with its worst window and worst
+class.  The programme is solved with HiGHS.  It follows the fluid limits of loss networks: F. Kelly, "Loss
+networks", Annals of Applied Probability 1 (1991).
+
+The fluid model has no randomness, so a day with favourable draws can exceed the bound by a small amount.
 """
 
 from __future__ import annotations
@@ -22,17 +23,18 @@
 from scipy.optimize import linprog
 from scipy.sparse import coo_matrix
 
-from eiderstep.lab.emulator.hosts import FOLLOW, LOOK, RELEASE, SET_UP
+from eiderstep.lab.emulator.hosts import ANSWER_WORK, BYE_WORK, INVITE_IN_WORK, INVITE_OUT_WORK
 from eiderstep.lab.emulator.samples import Sample
 
-STEP = 2.0  # seconds
-LARGEST = 400_000  # variables that are still solved in reasonable time
-AT_END = LOOK + SET_UP + FOLLOW + RELEASE  # work of a call at an exchange whose control is a call server
+STEP_SECONDS = 2.0
+MAX_VARIABLES = 400_000  # larger programmes take too long to solve
+# Work units of a call at an exchange that is controlled by a call server.
+CALL_WORK = INVITE_IN_WORK + INVITE_OUT_WORK + ANSWER_WORK + BYE_WORK
 
 
 @dataclass(frozen=True)
-class Asked:
-    """One caller's wish: when (s of the day), from where, class, whereto."""
+class OfferedCall:
+    """One call that a caller wants.  `at`: seconds since the beginning of the day."""
 
     at: float
     origin: int
@@ -41,8 +43,8 @@
 
 
 @dataclass(frozen=True)
-class Kind:
-    """A class.  Times in seconds."""
+class ClassParameters:
+    """Parameters of a call class.  `hold`: mean holding time in seconds."""
 
     worth: float
     width: int
@@ -51,212 +53,251 @@
 
 
 @dataclass(frozen=True)
-class Plan:
-    """What a day had.  `weights`: of the whole, the worst window and the worst class, and the window (s).
+class DayParameters:
+    """Parameters of a day, times in seconds.
 
-    `own_work`: exchanges of call servers, whose processors every call there passes.
+    `weights`: of the whole day, the worst window and the worst class; `window`: length of a window.
+    `own_work`: exchanges that are controlled by call servers; all their calls pass their processors.
     """
 
     length: float
-    kinds: Sequence[Kind]
-    circuits: dict[tuple[int, int], int]  # by pair, the lower number first
+    classes: Sequence[ClassParameters]
+    circuits: dict[tuple[int, int], int]  # by pair of exchanges, the lower number first
     refuse_past: float
     weights: tuple[float, float, float]
     window: float
     own_work: frozenset[int] = frozenset()
 
 
-class _Rows:
-    """Constraints under construction."""
+class _Constraints:
+    """Rows of a sparse constraint matrix with their right-hand sides."""
 
     def __init__(self) -> None:
         self.rows: list[int] = []
         self.columns: list[int] = []
         self.values: list[float] = []
-        self.right: list[float] = []
+        self.right_hand_sides: list[float] = []
 
-    def add(self, terms: Sequence[tuple[int, float]], right: float) -> None:
-        row = len(self.right)
+    def add(self, terms: Sequence[tuple[int, float]], right_hand_side: float) -> None:
+        row = len(self.right_hand_sides)
         for column, value in terms:
             self.rows.append(row)
             self.columns.append(column)
             self.values.append(value)
-        self.right.append(right)
+        self.right_hand_sides.append(right_hand_side)
 
-    def matrix(self, width: int) -> coo_matrix:
-        return coo_matrix((self.values, (self.rows, self.columns)), shape=(len(self.right), width))
+    def matrix(self, column_count: int) -> coo_matrix:
+        return coo_matrix(
+            (self.values, (self.rows, self.columns)), shape=(len(self.right_hand_sides), column_count)
+        )
 
 
-class _Programme:
-    def __init__(self, plan: Plan, asked: Sequence[Asked], samples: Sequence[Sample]) -> None:
-        self.plan, self.samples = plan, samples
-        self.count = max(math.ceil(plan.length / STEP), 1) + 2  # two more, for what comes at the end
+class _LinearProgramme:
+    """Variables, constraints and objective of a day's linear programme."""
+
+    def __init__(
+        self, day: DayParameters, offered_calls: Sequence[OfferedCall], samples: Sequence[Sample]
+    ) -> None:
+        self.day, self.samples = day, samples
+        # Two more steps, in which calls offered at the end of the day can still be carried.
+        self.step_count = max(math.ceil(day.length / STEP_SECONDS), 1) + 2
         self.offered: dict[tuple[int, int, int], list[float]] = {}
-        for one in asked:
-            key = (one.origin, one.dest, one.cls)
-            by = self.offered.setdefault(key, [0.0] * self.count)
-            by[min(int(max(one.at, 0.0) / STEP), self.count - 1)] += 1
-        self.size = 0
-        self.least, self.same = _Rows(), _Rows()
-        # What a pair's calls of a class are carried as, by window: [route][in time, in time one later, late].
+        for call in offered_calls:
+            key = (call.origin, call.dest, call.cls)
+            by_step = self.offered.setdefault(key, [0.0] * self.step_count)
+            by_step[min(int(max(call.at, 0.0) / STEP_SECONDS), self.step_count - 1)] += 1
+        self.variable_count = 0
+        self.inequalities, self.equalities = _Constraints(), _Constraints()
+        # Variables of the calls carried: by (origin, destination, class), then [route][timing][step].
+        # Routes: direct, tandem.  Timings: in time, in time but one step after the offer, late.
         self.carried: dict[tuple[int, int, int], list[list[list[int]]]] = {}
-        self.seen = [self._window(w) for w in range(self.count)]
+        self.samples_by_step = [self._samples_in_step(step) for step in range(self.step_count)]
 
-    def new(self, count: int = 1) -> list[int]:
-        first, self.size = self.size, self.size + count
-        return list(range(first, self.size))
+    def new_variables(self, count: int = 1) -> list[int]:
+        first, self.variable_count = self.variable_count, self.variable_count + count
+        return list(range(first, self.variable_count))
 
-    def _window(self, w: int) -> list[Sample]:
-        inside = [s for s in self.samples if w * STEP <= s.at < (w + 1) * STEP]
+    def _samples_in_step(self, step: int) -> list[Sample]:
+        inside = [s for s in self.samples if step * STEP_SECONDS <= s.at < (step + 1) * STEP_SECONDS]
         return inside or list(self.samples[-1:])
 
-    def capacity(self, number: int, w: int) -> float:
-        """Mean set-ups a second of an exchange in a window; none while it is cut off."""
-        here = self.seen[w]
-        return sum(0.0 if number in s.cut else s.capacity[number] for s in here) / max(len(here), 1)
+    def mean_capacity(self, number: int, step: int) -> float:
+        """Mean set-ups per second of an exchange in a step; 0 while it is cut off."""
+        samples = self.samples_by_step[step]
+        return sum(0.0 if number in s.cut_off else s.capacity[number] for s in samples) / max(len(samples), 1)
 
-    def circuits(self, pair: tuple[int, int], w: int) -> float:
-        keep = [s.keep.get(pair, s.keep.get(pair[::-1], 1.0)) for s in self.seen[w]]
-        return self.plan.circuits.get(pair, 0) * max(keep, default=1.0)
+    def available_circuits(self, pair: tuple[int, int], step: int) -> float:
+        shares = [
+            s.circuit_shares.get(pair, s.circuit_shares.get(pair[::-1], 1.0))
+            for s in self.samples_by_step[step]
+        ]
+        return self.day.circuits.get(pair, 0) * max(shares, default=1.0)
 
-    def calls(self) -> None:
-        """Variables of the calls, and that no more is carried than was asked for."""
+    def add_calls(self) -> None:
+        """Add the variables of the calls, and the constraints that no more calls are carried than offered."""
         for key, offered in self.offered.items():
-            routes = [[self.new(self.count) for _ in range(3)] for _ in range(2)]
+            routes = [[self.new_variables(self.step_count) for _ in range(3)] for _ in range(2)]
             self.carried[key] = routes
-            for w in range(self.count):
-                now = [(r[0][w], 1.0) for r in routes]
-                if w + 1 < self.count:
-                    now += [(r[1][w + 1], 1.0) for r in routes]
-                self.least.add(now, offered[w])
-            for r in routes:
-                self.same.add([(r[1][0], 1.0)], 0.0)
-            so_far: list[tuple[int, float]] = []
-            asked = 0.0
-            for w in range(self.count):
-                so_far = so_far + [(x[w], 1.0) for r in routes for x in r]
-                asked += offered[w]
-                if w % 5 == 4 or w == self.count - 1:  # a row for each window would be dense
-                    self.least.add(so_far, asked)
-
-    def groups(self) -> None:
-        """Circuits: of each group for direct calls, and out of and into exchanges for all."""
-        sides: dict[tuple[str, object], dict[int, list[list[int]]]] = {}
+            for step in range(self.step_count):
+                in_time = [(route[0][step], 1.0) for route in routes]
+                if step + 1 < self.step_count:
+                    in_time += [(route[1][step + 1], 1.0) for route in routes]
+                self.inequalities.add(in_time, offered[step])
+            for route in routes:
+                self.equalities.add([(route[1][0], 1.0)], 0.0)
+            carried_so_far: list[tuple[int, float]] = []
+            offered_so_far = 0.0
+            for step in range(self.step_count):
+                carried_so_far = carried_so_far + [
+                    (series[step], 1.0) for route in routes for series in route
+                ]
+                offered_so_far += offered[step]
+                # Only every fifth step: a row for each step would make the matrix dense.
+                if step % 5 == 4 or step == self.step_count - 1:
+                    self.inequalities.add(carried_so_far, offered_so_far)
+
+    def add_circuit_limits(self) -> None:
+        """Add the limits of circuits: of each group for direct calls, out of and into exchanges for all."""
+        users: dict[tuple[str, object], dict[int, list[list[int]]]] = {}
         for (origin, dest, cls), routes in self.carried.items():
             pair = (min(origin, dest), max(origin, dest))
-            for where, which in (
+            for resource, used_routes in (
                 (("group", pair), routes[:1]), (("out", origin), routes), (("into", dest), routes),
             ):  # fmt: skip
-                sides.setdefault(where, {}).setdefault(cls, []).extend(x for r in which for x in r)
-        for (kind, what), by_class in sides.items():
-            held: dict[int, list[int]] = {}
-            for cls, series in by_class.items():
-                hold, width = self.plan.kinds[cls].hold, self.plan.kinds[cls].width
-                left = math.exp(-STEP / hold)
-                mean = (1 - left) * hold / STEP  # of a window's calls, at its end
-                held[cls] = self.new(self.count)
-                for w in range(self.count):
-                    terms = [(held[cls][w], 1.0)] + [(x[w], -width * mean) for x in series]
-                    if w:
-                        terms.append((held[cls][w - 1], -left))
-                    self.same.add(terms, 0.0)
-            for w in range(self.count):
+                users.setdefault(resource, {}).setdefault(cls, []).extend(
+                    series for route in used_routes for series in route
+                )
+        for (kind, what), by_class in users.items():
+            held: dict[int, list[int]] = {}  # variables of the circuits in use, by class and step
+            for cls, all_series in by_class.items():
+                hold, width = self.day.classes[cls].hold, self.day.classes[cls].width
+                remaining = math.exp(-STEP_SECONDS / hold)
+                # Of the calls set up evenly over a step, the share that still stands at its end.
+                mean = (1 - remaining) * hold / STEP_SECONDS
+                held[cls] = self.new_variables(self.step_count)
+                for step in range(self.step_count):
+                    terms = [(held[cls][step], 1.0)] + [
+                        (series[step], -width * mean) for series in all_series
+                    ]
+                    if step:
+                        terms.append((held[cls][step - 1], -remaining))
+                    self.equalities.add(terms, 0.0)
+            for step in range(self.step_count):
                 if kind == "group":
-                    room = self.circuits(what, w)  # type: ignore[arg-type]
+                    circuits = self.available_circuits(what, step)  # type: ignore[arg-type]
                 else:
-                    room = sum(self.circuits(pair, w) for pair in self.plan.circuits if what in pair)
-                self.least.add([(held[cls][w], 1.0) for cls in held], room)
+                    circuits = sum(
+                        self.available_circuits(pair, step) for pair in self.day.circuits if what in pair
+                    )
+                self.inequalities.add([(held[cls][step], 1.0) for cls in held], circuits)
 
-    def processors(self) -> None:
-        """Work, with a queue no longer than what the processor takes before it turns away."""
+    def add_processor_limits(self) -> None:
+        """Add the limits of processor work, with a queue up to the length at which set-ups are refused."""
         work: dict[int, list[list[tuple[int, float]]]] = {}
-        looks: dict[int, list[float]] = {}
+        invite_work: dict[int, list[float]] = {}
 
-        def more(number: int) -> list[list[tuple[int, float]]]:
-            return work.setdefault(number, [[] for _ in range(self.count)])
+        def work_of(number: int) -> list[list[tuple[int, float]]]:
+            return work.setdefault(number, [[] for _ in range(self.step_count)])
 
         for (origin, dest, _), routes in self.carried.items():
-            own = dest in self.plan.own_work
-            for w in range(self.count):
-                more(dest)[w] += [(x[w], AT_END if own else 1.0) for r in routes for x in r]
-                if origin in self.plan.own_work:
-                    more(origin)[w] += [(x[w], AT_END - LOOK) for r in routes for x in r]
+            own = dest in self.day.own_work
+            for step in range(self.step_count):
+                work_of(dest)[step] += [
+                    (series[step], CALL_WORK if own else 1.0) for route in routes for series in route
+                ]
+                if origin in self.day.own_work:
+                    work_of(origin)[step] += [
+                        (series[step], CALL_WORK - INVITE_IN_WORK) for route in routes for series in route
+                    ]
         for (origin, _, _), offered in self.offered.items():
-            if origin in self.plan.own_work:
-                mine = looks.setdefault(origin, [0.0] * self.count)
-                for w in range(self.count):
-                    mine[w] += LOOK * offered[w]
+            if origin in self.day.own_work:
+                by_step = invite_work.setdefault(origin, [0.0] * self.step_count)
+                for step in range(self.step_count):
+                    by_step[step] += INVITE_IN_WORK * offered[step]
         for number, terms in work.items():
-            done, queue = self.new(self.count), self.new(self.count)
-            for w in range(self.count):
-                capacity = self.capacity(number, w)
-                fixed = min(looks.get(number, [0.0] * self.count)[w], capacity * STEP)
-                balance = [(queue[w], 1.0), (done[w], 1.0)] + [(x, -u) for x, u in terms[w]]
-                if w:
-                    balance.append((queue[w - 1], -1.0))
-                self.same.add(balance, 0.0)
-                self.least.add([(done[w], 1.0)], capacity * STEP - fixed)
-                self.least.add([(queue[w], 1.0)], capacity * self.plan.refuse_past)
-
-    def goal(self) -> np.ndarray:
-        """The day's goal as figures to make small, with variables for the worst window and class."""
-        plan = self.plan
-        whole = sum(plan.kinds[c].worth * sum(o) for (_, _, c), o in self.offered.items()) or 1.0
-        worst = self.new(2)
+            done, queue = self.new_variables(self.step_count), self.new_variables(self.step_count)
+            for step in range(self.step_count):
+                capacity = self.mean_capacity(number, step)
+                fixed = min(invite_work.get(number, [0.0] * self.step_count)[step], capacity * STEP_SECONDS)
+                balance = [(queue[step], 1.0), (done[step], 1.0)] + [
+                    (variable, -units) for variable, units in terms[step]
+                ]
+                if step:
+                    balance.append((queue[step - 1], -1.0))
+                self.equalities.add(balance, 0.0)
+                self.inequalities.add([(done[step], 1.0)], capacity * STEP_SECONDS - fixed)
+                self.inequalities.add([(queue[step], 1.0)], capacity * self.day.refuse_past)
+
+    def build_objective(self) -> np.ndarray:
+        """The costs to minimize; adds a variable each for the service of the worst window and worst class."""
+        day = self.day
+        total_worth = sum(day.classes[c].worth * sum(o) for (_, _, c), o in self.offered.items()) or 1.0
+        worst = self.new_variables(2)
         earned: list[tuple[int, float]] = []
+        # By window and by class: the terms of the worth earned, and the worth offered.
         windows: dict[int, tuple[list[tuple[int, float]], float]] = {}
         classes: dict[int, tuple[list[tuple[int, float]], float]] = {}
         for (_, _, cls), routes in self.carried.items():
-            kind = plan.kinds[cls]
-            for r in routes:
-                for i, share in enumerate((1.0, 1.0, kind.late_share)):
-                    for w in range(self.count):
-                        term = (r[i][w], kind.worth * share)
+            parameters = day.classes[cls]
+            for route in routes:
+                for timing, share in enumerate((1.0, 1.0, parameters.late_share)):
+                    for step in range(self.step_count):
+                        term = (route[timing][step], parameters.worth * share)
                         earned.append(term)
-                        born = w - 1 if i == 1 else w
-                        terms, of = windows.get(int(born * STEP / plan.window), ([], 0.0))
+                        offered_step = step - 1 if timing == 1 else step
+                        terms, offered_worth = windows.get(
+                            int(offered_step * STEP_SECONDS / day.window), ([], 0.0)
+                        )
                         terms.append(term)
-                        windows[int(born * STEP / plan.window)] = (terms, of)
-                        terms, of = classes.get(cls, ([], 0.0))
+                        windows[int(offered_step * STEP_SECONDS / day.window)] = (terms, offered_worth)
+                        terms, offered_worth = classes.get(cls, ([], 0.0))
                         terms.append(term)
-                        classes[cls] = (terms, of)
+                        classes[cls] = (terms, offered_worth)
         for (_, _, cls), offered in self.offered.items():
-            for w in range(self.count):
-                worth = plan.kinds[cls].worth * offered[w]
-                for table, at in ((windows, int(w * STEP / plan.window)), (classes, cls)):
-                    terms, of = table[at]
-                    table[at] = (terms, of + worth)
+            for step in range(self.step_count):
+                worth = day.classes[cls].worth * offered[step]
+                for table, key in ((windows, int(step * STEP_SECONDS / day.window)), (classes, cls)):
+                    terms, offered_worth = table[key]
+                    table[key] = (terms, offered_worth + worth)
         for variable, table in zip(worst, (windows, classes), strict=True):
-            for terms, of in table.values():
-                if of:
-                    self.least.add([(variable, 1.0)] + [(x, -v / of) for x, v in terms], 0.0)
-            self.least.add([(variable, 1.0)], 1.0)
-        cost = np.zeros(self.size)
-        for x, v in earned:
-            cost[x] -= plan.weights[0] * v / whole
-        cost[worst[0]], cost[worst[1]] = -plan.weights[1], -plan.weights[2]
+            for terms, offered_worth in table.values():
+                if offered_worth:
+                    self.inequalities.add(
+                        [(variable, 1.0)] + [(column, -value / offered_worth) for column, value in terms], 0.0
+                    )
+            self.inequalities.add([(variable, 1.0)], 1.0)
+        cost = np.zeros(self.variable_count)
+        for column, value in earned:
+            cost[column] -= day.weights[0] * value / total_worth
+        cost[worst[0]], cost[worst[1]] = -day.weights[1], -day.weights[2]
         return cost
 
 
-def bound(plan: Plan, asked: Sequence[Asked], samples: Sequence[Sample]) -> float | None:
-    """The service that capacity allows, 0 to 1; None where the programme is too large to be solved.
+def upper_bound(
+    day: DayParameters, offered_calls: Sequence[OfferedCall], samples: Sequence[Sample]
+) -> float | None:
+    """The highest service that capacity allows, 0 to 1; None where the programme is too large to be solved.
 
-    Raises RuntimeError where the solver finds no end.
+    Raises RuntimeError if the solver finds no solution.
     """
-    if not asked or not samples:
+    if not offered_calls or not samples:
         return 1.0
-    pairs = len({(a.origin, a.dest, a.cls) for a in asked})
-    if pairs * 6 * plan.length / STEP > LARGEST:
+    flows = len({(call.origin, call.dest, call.cls) for call in offered_calls})
+    if flows * 6 * day.length / STEP_SECONDS > MAX_VARIABLES:
         return None
-    lp = _Programme(plan, asked, samples)
-    lp.calls()
-    lp.groups()
-    lp.processors()
-    cost = lp.goal()
-    found = linprog(
-        cost, A_ub=lp.least.matrix(lp.size).tocsr(), b_ub=lp.least.right,
-        A_eq=lp.same.matrix(lp.size).tocsr(), b_eq=lp.same.right, method="highs-ipm",
+    programme = _LinearProgramme(day, offered_calls, samples)
+    programme.add_calls()
+    programme.add_circuit_limits()
+    programme.add_processor_limits()
+    cost = programme.build_objective()
+    solution = linprog(
+        cost,
+        A_ub=programme.inequalities.matrix(programme.variable_count).tocsr(),
+        b_ub=programme.inequalities.right_hand_sides,
+        A_eq=programme.equalities.matrix(programme.variable_count).tocsr(),
+        b_eq=programme.equalities.right_hand_sides,
+        method="highs-ipm",
     )  # fmt: skip
-    if not found.success:
-        raise RuntimeError(f"no bound: {found.message}")
-    return float(min(-found.fun, 1.0))
+    if not solution.success:
+        raise RuntimeError(f"linear programme not solved: {solution.message}")
+    return float(min(-solution.fun, 1.0))
--- a/eiderstep/lab/emulator/hosts.py
+++ b/eiderstep/lab/emulator/hosts.py
@@ -1,9 +1,9 @@
-"""Hosts: what runs on one waits while it is paused or its processor is busy; the rest of the world goes on.
+"""Emulated hosts: what runs on a host waits while it is paused or its processor is busy, and only that.
 
-A host is known by a context variable.  Whatever is scheduled by something that runs on a host (a timer, a
-task, the callbacks of its connections) inherits it, as asyncio copies contexts; so a call server needs no
-change to be paused.  A frozen host is what a long garbage collection, a swapped-out process or a suspended
-virtual machine is to its neighbours: the connections stand and take bytes, and nothing comes back.
+The current host is held in a context variable.  Whatever code on a host schedules (timers, tasks, callbacks
+of its connections) inherits it, because asyncio copies contexts, so a call server needs no change to be
+paused.  A frozen host looks to its neighbours like a long garbage collection, a swapped-out process or a
+suspended virtual machine: connections stay open and accept bytes, and nothing is sent back.
 """
 
 from __future__ import annotations
@@ -17,22 +17,23 @@
 
 from eiderstep.standin.processor import Processor
 
-# Units of work, of one set-up's: a look at what comes, the set-up that is sent on, answer and release.
+# Starts of the messages that cost work.
 INVITE, BYE, ANSWER = b"INVITE sip:", b"BYE sip:", b"SIP/2.0 200"
-LOOK, SET_UP, RELEASE, FOLLOW = 0.2, 0.8, 0.15, 0.1
+# Work units, in which a whole set-up is 1: an INVITE received, an INVITE sent on, a BYE, and a 200 response.
+INVITE_IN_WORK, INVITE_OUT_WORK, BYE_WORK, ANSWER_WORK = 0.2, 0.8, 0.15, 0.1
 
 
-def arriving(data: bytes) -> float:
-    """The work that arriving bytes are."""
-    return LOOK * data.count(INVITE) + RELEASE * data.count(BYE) + FOLLOW * data.count(ANSWER)
+def arrival_work(data: bytes) -> float:
+    """Work units of bytes that arrive."""
+    return INVITE_IN_WORK * data.count(INVITE) + BYE_WORK * data.count(BYE) + ANSWER_WORK * data.count(ANSWER)
 
 
 HERE: ContextVar[Host | None] = ContextVar("host", default=None)
-NOWHERE = Context()  # of no host: what wakes one must not itself wait for it
+NO_HOST = Context()  # for the timers that resume a host: on the host itself they would be held as well
 
 
 class Clock(Protocol):
-    """What a host needs of a loop."""
+    """The part of an event loop that a host uses."""
 
     def time(self) -> float: ...
 
@@ -42,23 +43,23 @@
 
 
 class Host:
-    """One host.  `until`: nothing runs on it before then (s).
+    """One host.  `until`: nothing runs on it before this time (s).
 
-    `processor`: of the exchange that is controlled from here.  What arrives waits for its turn there, and
-    then is handed to the program; the program itself, its timers and what it sends do not wait, as a call
-    control of its own beside the exchange's one-line processor.  Set-ups that it sends are work there too.
+    `processor`: that of the exchange which is controlled from this host.  Bytes that arrive are queued there
+    and then handed to the program; INVITEs that the program sends are work there too.  The program itself,
+    its timers and what it sends do not wait, as for a call control that runs beside the exchange's processor.
     """
 
     def __init__(self, loop: Clock, name: str, processor: Processor | None = None) -> None:
         self.loop, self.name, self.processor = loop, name, processor
-        self.until = self.busy = self.hung_until = 0.0
-        self.held: deque[asyncio.Handle] = deque()
-        self.waking = False
-        self.done = 0.0  # units of work
+        self.until = self.busy_until = self.hung_until = 0.0
+        self.held_handles: deque[asyncio.Handle] = deque()
+        self.wake_scheduled = False
+        self.work_done = 0.0  # units
 
     @contextmanager
     def on(self) -> Iterator[None]:
-        """What is built and scheduled within belongs to this host."""
+        """Makes this the host of whatever is created and scheduled within the context."""
         token = HERE.set(self)
         try:
             yield
@@ -66,58 +67,61 @@
             HERE.reset(token)
 
     def pause(self, seconds: float) -> None:
-        """Nothing runs for that long from now; pauses that overlap end with the last."""
+        """Freeze the host from now on; pauses that overlap end with the last."""
         self.until = max(self.until, self.loop.time() + seconds)
 
     def turn(self, data: bytes) -> float:
-        """When bytes that arrive now have had their turn at the processor (s)."""
-        return self._work(arriving(data))
+        """Queue the work of bytes that arrive now; returns the time at which it is done (s)."""
+        return self._queue_work(arrival_work(data))
 
     def sent(self, data: bytes) -> None:
-        """Bytes that go out: what they are work for."""
-        self._work(SET_UP * data.count(INVITE))
+        """Queue the work of bytes that are sent."""
+        self._queue_work(INVITE_OUT_WORK * data.count(INVITE))
 
-    def _work(self, units: float) -> float:
+    def _queue_work(self, units: float) -> float:
         processor, now = self.processor, self.loop.time()
         if processor is None:
             return now
         if units:
-            self.done += units
+            self.work_done += units
             processor.done_units += units
-            self.busy = max(self.busy, now) + units / processor.capacity()
-        return max(self.busy, now)
+            self.busy_until = max(self.busy_until, now) + units / processor.capacity()
+        return max(self.busy_until, now)
 
     def hang(self, seconds: float) -> None:
-        """The processor does nothing for that long; the program runs on.
+        """Stop the processor for that long, while the program runs on.
 
-        Hangs that overlap end with the last; the work that waits comes after it.
+        Hangs that overlap end with the last; queued work is done after it.
         """
         now = self.loop.time()
-        more = now + seconds - max(self.hung_until, now)
-        if more > 0:
-            self.busy, self.hung_until = max(self.busy, now) + more, now + seconds
+        added = now + seconds - max(self.hung_until, now)
+        if added > 0:
+            self.busy_until, self.hung_until = max(self.busy_until, now) + added, now + seconds
 
     def backlog(self) -> float:
-        """How long what arrives now waits (s)."""
+        """How long bytes that arrive now have to wait (s)."""
         now = self.loop.time()
-        return max(self.busy - now, self.until - now, 0.0)
+        return max(self.busy_until - now, self.until - now, 0.0)
 
     def holds(self, handle: asyncio.Handle) -> bool:
-        """Take a handle that cannot run yet.  Order is kept: nothing overtakes what is held."""
-        if not self.held and self.until <= self.loop.time():
+        """Hold back a handle if the host is frozen; returns whether it was held.
+
+        Handles run in their order: while earlier ones are held, later ones are held too.
+        """
+        if not self.held_handles and self.until <= self.loop.time():
             return False
-        self.held.append(handle)
-        if not self.waking:
-            self.waking = True
-            self.loop.call_at(self.until, self._wake, context=NOWHERE)
+        self.held_handles.append(handle)
+        if not self.wake_scheduled:
+            self.wake_scheduled = True
+            self.loop.call_at(self.until, self._wake, context=NO_HOST)
         return True
 
     def _wake(self) -> None:
-        self.waking = False
-        while self.held and self.until <= self.loop.time():
-            handle = self.held.popleft()
+        self.wake_scheduled = False
+        while self.held_handles and self.until <= self.loop.time():
+            handle = self.held_handles.popleft()
             if not handle.cancelled():
                 handle._run()
-        if self.held and not self.waking:
-            self.waking = True
-            self.loop.call_at(self.until, self._wake, context=NOWHERE)
+        if self.held_handles and not self.wake_scheduled:
+            self.wake_scheduled = True
+            self.loop.call_at(self.until, self._wake, context=NO_HOST)
--- a/eiderstep/lab/emulator/rehearse.py
+++ b/eiderstep/lab/emulator/rehearse.py
@@ -1,4 +1,4 @@
-"""Playing a scenario: the day, the bound beside it, its measures, and whether its expectations held."""
+"""Plays a scenario: runs its day, computes the upper bound and the measures, and checks the expectations."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 from eiderstep.lab.script import SECOND, VIRTUAL, Trouble
 from eiderstep.lab.world import Log
 
-ALLOWED = 60_000_000  # callbacks: some hundred times what a day takes
-NARROW = 2.0  # seconds of a window of recovery
-BACK = 0.9  # of the share served before the troubles
-STAYS = 2  # windows that it must stay so
-# Parts that the time of a simulated call is booked to, by where the code is.
-PARTS = (
+MAX_CALLBACKS = 60_000_000  # about a hundred times the callbacks of a day
+RECOVERY_WINDOW_SECONDS = 2.0
+RECOVERED_SHARE = 0.9  # of the service before the troubles
+RECOVERED_WINDOWS = 2  # consecutive windows that must reach this share
+# Parts of the program to which CPU time is attributed: a piece of the source path, and the name of the part.
+PROFILE_PARTS = (
     ("decide.py", "module"), ("eiderstep/engine", "engine"), ("eiderstep/sip", "sip"),
     ("eiderstep/server", "server"), ("eiderstep/standin", "stand-ins"), ("eiderstep/audit", "audit"),
     ("eiderstep/lab", "lab"), ("asyncio", "loop"), ("eiderstep", "rest"),
@@ -32,7 +32,7 @@
 
 @dataclass
 class Rehearsal:
-    """What a scenario came to.  `digest`: SHA-256 of the capture, a record a line."""
+    """Result of one play of a scenario.  `digest`: SHA-256 of the capture, one line per record."""
 
     scenario: Scenario
     draws: Draws
@@ -40,96 +40,111 @@
     bound: float | None
     measures: dict[str, float]
     digest: str
-    seconds: float  # CPU time of the play itself
-    parts: dict[str, float] = field(default_factory=dict)  # CPU seconds, where it was profiled
+    cpu_seconds: float  # of the play itself
+    cpu_by_part: dict[str, float] = field(default_factory=dict)  # seconds; empty without a profile
 
     @property
     def failed(self) -> list[tuple[Expect, float]]:
-        """Expectations that did not hold, and the figure found."""
-        found = []
+        """Expectations that did not hold, each with the measured value."""
+        failed = []
         for expect in self.scenario.expect:
             value = self.measures.get(expect.what, float("nan"))
-            low = expect.least is not None and not value >= expect.least
-            if low or (expect.most is not None and not value <= expect.most):
-                found.append((expect, value))
-        return found
+            too_low = expect.least is not None and not value >= expect.least
+            if too_low or (expect.most is not None and not value <= expect.most):
+                failed.append((expect, value))
+        return failed
 
     @property
     def good(self) -> bool:
         return self.result.good and not self.failed
 
     def as_json(self) -> dict[str, Any]:
-        """Plain data, in a fixed order; the same on every machine but for `cpu`."""
+        """The result as plain data in a fixed order, the same on every machine except for `cpu`."""
         return {
             **self.result.as_json(),
             "good": self.good,
             "bound": None if self.bound is None else round(self.bound, 4),
             "measures": {k: round(v, 4) for k, v in self.measures.items()},
-            "draws": {k: self.draws.made[k] for k in sorted(self.draws.made)},
+            "draws": {k: self.draws.drawn[k] for k in sorted(self.draws.drawn)},
             "failed": [
                 {"what": e.what, "least": e.least, "most": e.most, "found": round(v, 4)}
                 for e, v in self.failed
             ],
             "digest": self.digest,
-            "cpu": {"seconds": round(self.seconds, 2), **{k: round(v, 2) for k, v in self.parts.items()}},
+            "cpu": {
+                "seconds": round(self.cpu_seconds, 2),
+                **{k: round(v, 2) for k, v in self.cpu_by_part.items()},
+            },
         }  # fmt: skip
 
 
-def digest(capture: Capture) -> str:
-    """One figure for all that passed the call servers' sockets."""
-    sum_ = hashlib.sha256()
-    for r in capture:
-        sum_.update(f"{r.time} {r.node} {r.label} {r.peer} {r.way} {r.data}\n".encode())
-    return sum_.hexdigest()
+def capture_digest(capture: Capture) -> str:
+    """SHA-256 of all messages at the call servers' sockets, in hexadecimal."""
+    checksum = hashlib.sha256()
+    for record in capture:
+        checksum.update(
+            f"{record.time} {record.node} {record.label} {record.peer} {record.way} {record.data}\n".encode()
+        )
+    return checksum.hexdigest()
 
 
-def ends(trouble: Trouble) -> int:
-    """When a trouble of a script is over (ns of the day)."""
-    over = trouble.at + trouble.lasts
+def trouble_end(trouble: Trouble) -> int:
+    """When a trouble of a script is over, in ns since the beginning of the day."""
+    end = trouble.at + trouble.lasts
     if trouble.kind in ("deploy", "ageing"):
         each = trouble.lasts + trouble.gap
-        over = trouble.at + each * (len(trouble.exchanges) if trouble.kind == "deploy" else 1)
-    return over
+        end = trouble.at + each * (len(trouble.exchanges) if trouble.kind == "deploy" else 1)
+    return end
+
 
+def recovery_seconds(scenario: Scenario, result: days.Result) -> float:
+    """Seconds from the end of the last trouble until service is lastingly restored.
 
-def recovery(scenario: Scenario, result: days.Result) -> float:
-    """Seconds after the last trouble until service is back and stays; else the rest of the day."""
+    Service is restored at the first of `RECOVERED_WINDOWS` windows that all reach `RECOVERED_SHARE` of the
+    mean before the first trouble.  If that does not happen, this is the rest of the day.
+    """
     if not scenario.troubles:
         return 0.0
-    over = max(ends(t) for t in scenario.troubles) / SECOND
-    first = min(t.at for t in scenario.troubles) / SECOND
-    windows = result.windows(NARROW)
-    calm = [share for at, share in windows if at + NARROW <= first] or [1.0]
-    wanted = BACK * sum(calm) / len(calm)
-    after = [(at, share) for at, share in windows if at >= over and at + NARROW <= scenario.length / SECOND]
+    last_end = max(trouble_end(t) for t in scenario.troubles) / SECOND
+    first_start = min(t.at for t in scenario.troubles) / SECOND
+    windows = result.windows(RECOVERY_WINDOW_SECONDS)
+    before = [share for at, share in windows if at + RECOVERY_WINDOW_SECONDS <= first_start] or [1.0]
+    target = RECOVERED_SHARE * sum(before) / len(before)
+    after = [
+        (at, share)
+        for at, share in windows
+        if at >= last_end and at + RECOVERY_WINDOW_SECONDS <= scenario.length / SECOND
+    ]
     for i, (at, _) in enumerate(after):
-        if all(share >= wanted for _, share in after[i : i + STAYS]):
-            return max(at - over, 0.0)
-    return max(scenario.length / SECOND - over, 0.0)
+        if all(share >= target for _, share in after[i : i + RECOVERED_WINDOWS]):
+            return max(at - last_end, 0.0)
+    return max(scenario.length / SECOND - last_end, 0.0)
 
 
-def measures(scenario: Scenario, result: days.Result, top: float | None) -> dict[str, float]:
-    """All figures that a script may expect something of."""
+def compute_measures(scenario: Scenario, result: days.Result, upper_bound: float | None) -> dict[str, float]:
+    """The measures that a script can state expectations for (`MEASURES`)."""
     found = {k: result.service[k] for k in ("service", "whole", "worst_window", "worst_class")}
-    if top:
-        found["of_bound"] = result.service["service"] / top
+    if upper_bound:
+        found["of_bound"] = result.service["service"] / upper_bound
     found["set_up_p99_ms"] = result.p99_ms
     found["tries_per_call"] = result.tries / max(result.asks, 1)
-    found["recovery_s"] = recovery(scenario, result)
+    found["recovery_s"] = recovery_seconds(scenario, result)
     return found
 
 
-def top_of(result: days.Result, scenario: Scenario) -> float | None:
-    """The bound of the day that was played."""
-    from eiderstep.lab.emulator import bound as lp  # needs numpy and scipy, which a plain day does not
+def service_bound(result: days.Result, scenario: Scenario) -> float | None:
+    """The upper bound of the service of the day that was played; None where it is too large to compute."""
+    # Imported here: it needs numpy and scipy, which a play without the bound does not.
+    from eiderstep.lab.emulator import bound as lp
 
     world = result.world
     assert world is not None
     names = [c.name for c in scenario.classes]
-    plan = lp.Plan(
+    day = lp.DayParameters(
         length=scenario.length / SECOND,
-        kinds=[
-            lp.Kind(c.worth, c.width, c.mean_hold / SECOND, c.late_share) for c in scenario.classes
+        classes=[
+            lp.ClassParameters(c.worth, c.width, c.mean_hold / SECOND, c.late_share)
+            for c in scenario.classes
         ],
         circuits={
             (a, b): world.circuits(a, b)
@@ -142,13 +157,15 @@
         own_work=frozenset(world.servers) if scenario.fleet.own_work else frozenset(),
     )  # fmt: skip
     by_prefix = world.numbers()
-    asked = [
-        lp.Asked(ask.born - world.began, site.number, names.index(ask.cls.name), by_prefix[ask.number[:4]])
+    offered_calls = [
+        lp.OfferedCall(
+            ask.born - world.began, site.number, names.index(ask.cls.name), by_prefix[ask.number[:4]]
+        )
         for site in world.sites.values()
         for ask in site.callers.asks
         if ask.born >= world.began
     ]
-    return lp.bound(plan, asked, result.samples)
+    return lp.upper_bound(day, offered_calls, result.samples)
 
 
 def play(
@@ -162,17 +179,21 @@
     with_bound: bool = True,
     profiled: bool = False,
     keep: Path | None = None,
-    allowed: int = ALLOWED,
+    max_callbacks: int = MAX_CALLBACKS,
 ) -> tuple[Rehearsal, Capture]:
-    """One play.  `servers`: how many exchanges have a call server, 0 for all, None for what the script says.
+    """Play a scenario once and evaluate it.
 
-    Raises ValueError where a trouble cannot be played over sockets, and Endless after `allowed` callbacks.
+    `servers`: how many exchanges have a call server; 0 for all, None for the number in the script.
+    `keep`: folder for the captures of call servers that run in processes of their own.
+    Raises ValueError if a trouble cannot be played over sockets, and Endless after `max_callbacks` callbacks.
     """
     if sockets:
-        wrong = sorted({t.kind for t in scenario.troubles} & VIRTUAL)
-        if wrong or scenario.fleet.own_work:
-            said = ", ".join(wrong + ["own_work"] * scenario.fleet.own_work)
-            raise ValueError(f"found {said}; allowed over sockets: what needs no emulated host or link")
+        virtual_only = sorted({t.kind for t in scenario.troubles} & VIRTUAL)
+        if virtual_only or scenario.fleet.own_work:
+            found_names = ", ".join(virtual_only + ["own_work"] * scenario.fleet.own_work)
+            raise ValueError(
+                f"found {found_names}; allowed over sockets: what needs no emulated host or link"
+            )
     count = scenario.servers if servers is None else servers
     numbers = tuple(range(count or scenario.fleet.count))
     profile = cProfile.Profile() if profiled else None
@@ -181,42 +202,50 @@
         profile.enable()
     try:
         result, capture = days.play(
-            scenario, draws.seed, log, numbers, sockets, processes, keep, mind, 0 if sockets else allowed
-        )
+            scenario, draws.seed, log, numbers, sockets, processes, keep, mind,
+            0 if sockets else max_callbacks,
+        )  # fmt: skip
     finally:
         if profile is not None:
             profile.disable()
-    took = process_time() - began
-    top = top_of(result, scenario) if with_bound else None
-    found = Rehearsal(
-        scenario, draws, result, top, measures(scenario, result, top), digest(capture), took,
-        parts(profile) if profile is not None else {},
+    cpu_seconds = process_time() - began
+    upper_bound = service_bound(result, scenario) if with_bound else None
+    rehearsal = Rehearsal(
+        scenario, draws, result, upper_bound, compute_measures(scenario, result, upper_bound),
+        capture_digest(capture), cpu_seconds, cpu_seconds_by_part(profile) if profile is not None else {},
     )  # fmt: skip
-    return found, capture
+    return rehearsal, capture
 
 
 def rehearse(
-    path: Path, seed: int, fixed: Mapping[str, Any] | None = None, without: Sequence[int] = (), **how: Any
+    path: Path,
+    seed: int,
+    fixed: Mapping[str, Any] | None = None,
+    without: Sequence[int] = (),
+    **play_options: Any,
 ) -> Rehearsal:
-    """A scenario from its file, drawn and played."""
+    """Load a scenario from its file with the draws of a seed, and play it.  Raises ConfigError."""
     scenario, draws = load(path, seed, fixed, without)
-    return play(scenario, draws, **how)[0]
+    return play(scenario, draws, **play_options)[0]
 
 
-def parts(profile: cProfile.Profile) -> dict[str, float]:
-    """CPU seconds by part of the program, from functions' own times; what is built in goes to its callers."""
+def cpu_seconds_by_part(profile: cProfile.Profile) -> dict[str, float]:
+    """CPU seconds by part of the program, the largest first.
+
+    Counts the functions' own times; the time of built-in functions is attributed to their callers.
+    """
     sums: dict[str, float] = {}
 
-    def part(file: str) -> str:
-        place = file.replace("\\", "/")
-        return next((name for key, name in PARTS if key in place), "library")
+    def part_of(file: str) -> str:
+        path = file.replace("\\", "/")
+        return next((name for key, name in PROFILE_PARTS if key in path), "library")
 
     stats: Any = pstats.Stats(profile)
     for (file, _, _), (_, _, own, _, callers) in stats.stats.items():
         if file != "~":
-            sums[part(file)] = sums.get(part(file), 0.0) + own
+            sums[part_of(file)] = sums.get(part_of(file), 0.0) + own
             continue
         for (caller, _, _), (_, _, spent, _) in callers.items():
-            name = part(caller) if caller != "~" else "library"
+            name = part_of(caller) if caller != "~" else "library"
             sums[name] = sums.get(name, 0.0) + spent
     return dict(sorted(sums.items(), key=lambda item: -item[1]))
--- a/eiderstep/lab/emulator/samples.py
+++ b/eiderstep/lab/emulator/samples.py
@@ -1,4 +1,7 @@
-"""What the world could carry while a day went on: capacities, groups and ways, sampled for the bound."""
+"""Samples of what the emulated world could carry during a day: processor capacities, circuits and cut links.
+
+The linear programme in bound.py computes the upper bound of the service from them.
+"""
 
 from __future__ import annotations
 
@@ -6,32 +9,36 @@
 
 from eiderstep.lab.emulator.stage import Stage
 
-EVERY = 0.5  # seconds
+EVERY = 0.5  # seconds between two samples
 
 
 @dataclass(frozen=True)
 class Sample:
-    """One moment.  `at` in seconds of the day; `capacity` by exchange, set-ups a second; `keep` by pair,
-    where a group has less than all its circuits; `cut` the exchanges that no bytes reach."""
+    """State of the world at one moment.
+
+    `at`: seconds since the beginning of the day; `capacity`: set-ups per second, by exchange;
+    `circuit_shares`: share of the circuits in service, for pairs of exchanges where it is below 1;
+    `cut_off`: exchanges that no bytes reach.
+    """
 
     at: float
     capacity: tuple[float, ...]
-    keep: dict[tuple[int, int], float]
-    cut: frozenset[int]
+    circuit_shares: dict[tuple[int, int], float]
+    cut_off: frozenset[int]
 
 
 def take(stage: Stage) -> Sample:
-    """The truth as of now, which no call server knows.  Draws no chance."""
+    """Sample the true state, which no call server knows.  Draws no random numbers."""
     now, capacities = stage.loop.time(), []
     for number in range(stage.day.fleet.count):
         exchange, control = stage.exchanges[number], stage.control.get(number)
         processor = exchange.processor
         if control is not None and control.processor is not None:
             processor = control.processor
-        frozen = any(h is not None and h.until > now for h in (stage.hosts.get(number), control))
-        dead = stage.conditions.any(number, "down") or exchange.dead
+        frozen = any(host is not None and host.until > now for host in (stage.hosts.get(number), control))
+        dead = stage.conditions.is_active(number, "down") or exchange.dead
         hung = exchange.processor.hung
         capacities.append(0.0 if dead or hung or frozen else processor.capacity())
-    cut = frozenset(n for n in stage.exchanges if stage.conditions.of(n, "cut"))
-    keep = {pair: share for pair, share in stage.kept.items() if share < 1}
-    return Sample(now - stage.began, tuple(capacities), keep, cut)
+    cut_off = frozenset(n for n in stage.exchanges if stage.conditions.of(n, "cut"))
+    circuit_shares = {pair: share for pair, share in stage.kept.items() if share < 1}
+    return Sample(now - stage.began, tuple(capacities), circuit_shares, cut_off)
--- a/eiderstep/lab/emulator/troubles.py
+++ b/eiderstep/lab/emulator/troubles.py
@@ -1,6 +1,6 @@
-"""What a script's troubles do to the world.
+"""Actions of the troubles of a script, by kind.
 
-Each adds its conditions and takes its own away again, so that any of them can fall together (conditions.py).
+Each trouble adds conditions and removes only its own, so that any troubles can overlap (see conditions.py).
 """
 
 from __future__ import annotations
@@ -23,26 +23,26 @@
 if TYPE_CHECKING:
     from eiderstep.lab.day import Player
 
-SOURCES = 64  # addresses of strangers at each call server
-Deed = Callable[["Player", Trouble], None]
+SOURCES_PER_SERVER = 64  # addresses from which strangers attack each call server
+TroubleAction = Callable[["Player", Trouble], None]
 
 
-def condition(what: str, value: Callable[[Trouble], float]) -> Deed:
-    """A trouble that is one condition of each of its exchanges while it lasts."""
+def condition_action(kind: str, value: Callable[[Trouble], float]) -> TroubleAction:
+    """The action of a trouble that is one condition of each of its exchanges while it lasts."""
 
     def begin(player: Player, trouble: Trouble) -> None:
         for number in trouble.exchanges:
-            player.world.trouble(number, what, value(trouble), trouble.lasts / SECOND)
+            player.world.begin_timed_condition(number, kind, value(trouble), trouble.lasts / SECOND)
 
     return begin
 
 
-def both(*deeds: Deed) -> Deed:
-    """Several at once."""
+def combined_action(*actions: TroubleAction) -> TroubleAction:
+    """An action that begins all of the given ones."""
 
     def begin(player: Player, trouble: Trouble) -> None:
-        for deed in deeds:
-            deed(player, trouble)
+        for action in actions:
+            action(player, trouble)
 
     return begin
 
@@ -54,91 +54,96 @@
 
 def _hot_number(player: Player, trouble: Trouble) -> None:
     for number in trouble.exchanges:
-        player.world.trouble(number, "lines", trouble.factor, trouble.lasts / SECOND)
-        player.world.trouble(number, "hot", trouble.share, trouble.lasts / SECOND)
+        player.world.begin_timed_condition(number, "lines", trouble.factor, trouble.lasts / SECOND)
+        player.world.begin_timed_condition(number, "hot", trouble.share, trouble.lasts / SECOND)
 
 
 def _shift(player: Player, trouble: Trouble) -> None:
-    mine: dict[int, float] = {}
+    factors: dict[int, float] = {}  # of the calls to each exchange
 
     async def run() -> None:
         ends = player.loop.time() + trouble.lasts / SECOND
-        player.shifts.append(mine)
+        player.shifts.append(factors)
         while player.loop.time() < ends and not player.over:
-            # Lognormal, with that standard deviation of the logarithm.
-            mine.update((n, player.rng.lognormvariate(0.0, trouble.factor)) for n in player.world.exchanges)
+            # `trouble.factor` is the standard deviation of the logarithm.
+            factors.update(
+                (n, player.rng.lognormvariate(0.0, trouble.factor)) for n in player.world.exchanges
+            )
             await asyncio.sleep(trouble.gap / SECOND)
-        player.shifts = [shift for shift in player.shifts if shift is not mine]
+        player.shifts = [shift for shift in player.shifts if shift is not factors]
 
     player.loop.create_task(run())
 
 
 def _hang(player: Player, trouble: Trouble) -> None:
     for number in trouble.exchanges:
-        player.world.trouble(number, "hung", 1.0, trouble.lasts / SECOND)
+        player.world.begin_timed_condition(number, "hung", 1.0, trouble.lasts / SECOND)
         control = player.world.control.get(number)
         if control is not None and control.processor is not None:
             control.hang(trouble.lasts / SECOND)
 
 
 def _ageing(player: Player, trouble: Trouble) -> None:
-    """Slower and slower, then dead; a new process is young."""
+    """Slow the exchanges down exponentially, then kill them; the new processes run at normal speed."""
     world = player.world
     doublings = log2(max(trouble.factor, 1.01))
 
     async def run(number: int) -> None:
-        one = world.begin(number, "doubles", trouble.lasts / SECOND / doublings)
+        condition = world.begin_condition(number, "doubles", trouble.lasts / SECOND / doublings)
         await asyncio.sleep(trouble.lasts / SECOND)
-        world.end(one)
-        await _gone_for(player, number, trouble.gap / SECOND)
+        world.end_condition(condition)
+        await _take_down(player, number, trouble.gap / SECOND)
 
     for number in trouble.exchanges:
         player.loop.create_task(run(number))
 
 
-async def _gone_for(player: Player, number: int, seconds: float, told: bool = True) -> None:
-    """Dead at once; back, cold, after a while."""
+async def _take_down(player: Player, number: int, seconds: float, announced: bool = True) -> None:
+    """Kill an exchange and restart it, cold, after a time.
+
+    `announced`: whether the registers are told that it is gone; they are always told of the restart.
+    """
     world = player.world
-    down = world.fall(number)
-    if told:
-        world.tell(number, "gone")
+    outage = world.begin_outage(number)
+    if announced:
+        world.announce_state(number, "gone")
     await asyncio.sleep(seconds)
-    if await world.rise(down):
-        world.tell(number, "up", world.exchanges[number].started)
+    if await world.end_outage(outage):
+        world.announce_state(number, "up", world.exchanges[number].started)
 
 
 def _deploy(player: Player, trouble: Trouble) -> None:
     async def run() -> None:
         for number in trouble.exchanges:
-            if not player.world.conditions.any(number, "down"):
-                player.world.tell(number, "draining")
+            if not player.world.conditions.is_active(number, "down"):
+                player.world.announce_state(number, "draining")
             await asyncio.sleep(trouble.lasts / SECOND)
-            await _gone_for(player, number, trouble.gap / SECOND)
+            await _take_down(player, number, trouble.gap / SECOND)
 
     player.loop.create_task(run())
 
 
 def _restart(player: Player, trouble: Trouble) -> None:
     for number in trouble.exchanges:
-        player.loop.create_task(_gone_for(player, number, trouble.lasts / SECOND))
+        player.loop.create_task(_take_down(player, number, trouble.lasts / SECOND))
 
 
 def _stale(player: Player, trouble: Trouble) -> None:
-    """Exchanges die and come back, and the register says no word of their death."""
+    """Kill and restart exchanges while the registers go on listing them as up."""
     for number in trouble.exchanges:
-        player.loop.create_task(_gone_for(player, number, trouble.lasts / SECOND, told=False))
+        player.loop.create_task(_take_down(player, number, trouble.lasts / SECOND, announced=False))
 
 
 def _pause(player: Player, trouble: Trouble) -> None:
     for number in trouble.exchanges:
-        player.world.freeze(number, trouble.lasts / SECOND)
+        player.world.freeze_exchange(number, trouble.lasts / SECOND)
 
 
 def _collections(player: Player, trouble: Trouble) -> None:
     async def run(number: int) -> None:
         ends = player.loop.time() + trouble.lasts / SECOND
         while player.loop.time() < ends:
-            player.world.freeze(number, trouble.factor / 1000)
+            player.world.freeze_exchange(number, trouble.factor / 1000)
             await asyncio.sleep(player.rng.uniform(0.5, 1.5) * trouble.gap / SECOND)
 
     for number in trouble.exchanges:
@@ -147,7 +152,7 @@
 
 def _link_reset(player: Player, trouble: Trouble) -> None:
     for number in trouble.exchanges:
-        for proxy in player.world.toward(number):
+        for proxy in player.world.proxies_of(number):
             proxy.reset()
 
 
@@ -158,41 +163,41 @@
 
 
 def _register_lag(player: Player, trouble: Trouble) -> None:
-    """Lists that are late by different troubles are late by the sum."""
-    for one in [one for site in player.world.sites.values() for one in site.lists]:
-        more = trouble.factor - one.lag
-        one.lag += more
-        player.after(trouble, partial(_less_lag, one, more))
+    """Set the lag of all lists to `trouble.factor` seconds; the end removes only what this trouble added."""
+    for exchange_list in [x for site in player.world.sites.values() for x in site.lists]:
+        added = trouble.factor - exchange_list.lag
+        exchange_list.lag += added
+        player.after(trouble, partial(_reduce_lag, exchange_list, added))
 
 
-def _less_lag(one: RegisterStandin | EurekaSite, more: float) -> None:
-    one.lag -= more
+def _reduce_lag(exchange_list: RegisterStandin | EurekaSite, seconds: float) -> None:
+    exchange_list.lag -= seconds
 
 
 def _register_silent(player: Player, trouble: Trouble) -> None:
-    """All lists, or with `peers` named the registry's alone."""
-    for one in [one for site in player.world.sites.values() for one in site.lists]:
-        if isinstance(one, EurekaSite) or not trouble.peers:
-            one.fall_silent(trouble.lasts / SECOND)
+    """Silence all lists, or only the registries if `trouble.peers` is given."""
+    for exchange_list in [x for site in player.world.sites.values() for x in site.lists]:
+        if isinstance(exchange_list, EurekaSite) or not trouble.peers:
+            exchange_list.fall_silent(trouble.lasts / SECOND)
 
 
 def _registry_lie(player: Player, trouble: Trouble) -> None:
-    for one in [one for site in player.world.sites.values() for one in site.lists]:
-        if isinstance(one, EurekaSite):
-            one.lie(trouble.lie, trouble.exchanges, trouble.peers)
-            player.after(trouble, partial(one.lie, "", [], trouble.peers))
+    for exchange_list in [x for site in player.world.sites.values() for x in site.lists]:
+        if isinstance(exchange_list, EurekaSite):
+            exchange_list.lie(trouble.lie, trouble.exchanges, trouble.peers)
+            player.after(trouble, partial(exchange_list.lie, "", [], trouble.peers))
 
 
 def _stall(player: Player, trouble: Trouble) -> None:
-    """The call servers named (all if none are) do not run for a while.
+    """Stop the call servers of `trouble.exchanges`, or all if none are named, for a time.
 
-    Over sockets and in one process with everything else, the whole world sleeps.
+    Those that run over sockets in the lab's own process cannot be stopped alone: the whole process sleeps.
     """
-    world, lasts = player.world, trouble.lasts / SECOND
+    world, seconds = player.world, trouble.lasts / SECOND
     chosen = [n for n in world.sites if not trouble.exchanges or n in trouble.exchanges]
-    apart = [world.stall(number, lasts) for number in chosen]
-    if not all(apart):
-        time.sleep(lasts)
+    separate = [world.stall_server(number, seconds) for number in chosen]
+    if not all(separate):
+        time.sleep(seconds)
 
 
 def _callers_vanish(player: Player, trouble: Trouble) -> None:
@@ -208,53 +213,53 @@
         for site in player.world.sites.values():
             host, _, port = site.server.address.rpartition(":")
             for _ in range(int(trouble.factor)):
-                wire, _protocol = await player.loop.create_connection(asyncio.Protocol, host, int(port))
-                wire.write(b"INVITE sip:")
-                player.idle.append(wire)
+                transport, _protocol = await player.loop.create_connection(asyncio.Protocol, host, int(port))
+                transport.write(b"INVITE sip:")
+                player.idle.append(transport)
 
     player.loop.create_task(run())
 
 
 def _strangers(player: Player, trouble: Trouble) -> None:
-    """At each call server: addresses that nobody knows, callers', and those of the stand-in exchanges."""
+    """Attack each call server from unknown addresses, callers' addresses and those of the other exchanges."""
     world = player.world
     for number, site in world.sites.items():
         hosts = {
-            NOBODY: [f"127.3.{number}.{n + 1}" for n in range(SOURCES)],
-            CALLER: [f"127.2.200.{n + 1}" for n in range(SOURCES // 2)],
+            NOBODY: [f"127.3.{number}.{n + 1}" for n in range(SOURCES_PER_SERVER)],
+            CALLER: [f"127.2.200.{n + 1}" for n in range(SOURCES_PER_SERVER // 2)],
             EXCHANGE: [host_of(n) for n in world.exchanges if n != number],
         }
-        kind = Stranger if world.folder is None else StrangerProcess
-        one = kind(
+        stranger_class = Stranger if world.folder is None else StrangerProcess
+        stranger = stranger_class(
             player.loop, site.server.address, hosts, partial(world.victims, number),
             Random(player.rng.getrandbits(64)), trouble.factor,
         )  # fmt: skip
-        world.strangers.append(one)
-        player.loop.create_task(one.run(trouble.lasts / SECOND))
+        world.strangers.append(stranger)
+        player.loop.create_task(stranger.run(trouble.lasts / SECOND))
 
 
-TROUBLES: dict[str, Deed] = {
+TROUBLES: dict[str, TroubleAction] = {
     "burst": _burst,
-    "flood": condition("flood", lambda t: t.factor),
+    "flood": condition_action("flood", lambda t: t.factor),
     "hot_number": _hot_number,
     "shift": _shift,
     "hang": _hang,
-    "mute": both(_hang, condition("mute", lambda t: 1.0)),
-    "slow": condition("slow", lambda t: t.factor),
+    "mute": combined_action(_hang, condition_action("mute", lambda t: 1.0)),
+    "slow": condition_action("slow", lambda t: t.factor),
     "ageing": _ageing,
     "pause": _pause,
     "collections": _collections,
     "deploy": _deploy,
     "restart": _restart,
-    "district_cut": condition("cut", lambda t: 1.0),
+    "district_cut": condition_action("cut", lambda t: 1.0),
     "link_reset": _link_reset,
-    "lossy": condition("loss", lambda t: t.share),
-    "delay": condition("delay", lambda t: t.factor / 1000),
-    "circuits_lost": condition("circuits", lambda t: t.share),
+    "lossy": condition_action("loss", lambda t: t.share),
+    "delay": condition_action("delay", lambda t: t.factor / 1000),
+    "circuits_lost": condition_action("circuits", lambda t: t.share),
     "mass_cut": _mass_cut,
-    "answers_lost": condition("lose_answers", lambda t: t.share),
-    "answers_torn": condition("tear", lambda t: t.share),
-    "report_late": condition("report_late", lambda t: t.factor),
+    "answers_lost": condition_action("lose_answers", lambda t: t.share),
+    "answers_torn": condition_action("tear", lambda t: t.share),
+    "report_late": condition_action("report_late", lambda t: t.factor),
     "register_lag": _register_lag,
     "register_silent": _register_silent,
     "registry_lie": _registry_lie,
--- a/eiderstep/lab/experiment/__init__.py
+++ b/eiderstep/lab/experiment/__init__.py
@@ -1,1 +1,1 @@
-"""Experiments: grids of rehearsals, their results kept, compared, searched and shown."""
+"""Experiments: run grids of rehearsals, store, compare and report their results, hunt for the worst draws."""
--- a/eiderstep/lab/experiment/compare.py
+++ b/eiderstep/lab/experiment/compare.py
@@ -1,8 +1,8 @@
-"""Two sides of an experiment, seed by seed: paired differences of service with confidence intervals.
+"""Compares two sides of an experiment: paired differences of service with confidence intervals.
 
-Pairs are plays of one scenario with one seed: what differs between the sides is all that differs.  The
-interval of a mean is Student's where there are pairs enough to speak of one, and by the bootstrap over all
-pairs, which asks nothing of the shape; both from seeded chance.
+A pair is two plays of one scenario with one seed, one of each side, so that the plays differ only in what the
+sides differ in.  The mean has two intervals: Student's t, where the differences of at least two pairs vary,
+and the bootstrap over all pairs, which makes no assumption about the distribution and is seeded.
 """
 
 from __future__ import annotations
@@ -15,13 +15,16 @@
 
 from eiderstep.lab.experiment.store import Run
 
-SHARE = 0.95
-DRAWS = 4000  # of the bootstrap
+CONFIDENCE = 0.95
+BOOTSTRAP_SAMPLES = 4000
 
 
 @dataclass(frozen=True)
 class Difference:
-    """Second side less first, over `pairs` plays.  `low` and `high` by the bootstrap, `t` by Student."""
+    """Difference between two sides over `pairs` pairs of plays.
+
+    `first`, `second`: mean service of each side; `low`, `high`: bootstrap interval of second minus first.
+    """
 
     name: str
     pairs: int
@@ -29,8 +32,8 @@
     second: float
     low: float
     high: float
-    t: tuple[float, float] | None
-    worse: int  # pairs in which the second is lower
+    student_interval: tuple[float, float] | None
+    pairs_worse: int  # pairs in which the second side is lower
     broken: tuple[int, int]  # plays that broke a rule, on each side
 
     @property
@@ -39,7 +42,7 @@
 
     @property
     def verdict(self) -> str:
-        """What may be said of it."""
+        """The conclusion from the bootstrap interval, in a few words."""
         if self.pairs < 2:
             return "one pair tells nothing"
         if self.low > 0:
@@ -47,41 +50,46 @@
         return "worse" if self.high < 0 else "no difference seen"
 
 
-def paired(first: Iterable[Run], second: Iterable[Run]) -> dict[tuple[str, int], tuple[Run, Run]]:
-    """Plays that both sides have, by scenario and seed."""
-    one = {(r.job.scenario, r.job.seed): r for r in first if r.status == "done"}
-    other = {(r.job.scenario, r.job.seed): r for r in second if r.status == "done"}
-    return {key: (one[key], other[key]) for key in sorted(one.keys() & other.keys())}
+def pair_runs(first: Iterable[Run], second: Iterable[Run]) -> dict[tuple[str, int], tuple[Run, Run]]:
+    """Pairs of completed runs that both sides have, by scenario and seed."""
+    first_runs = {(r.job.scenario, r.job.seed): r for r in first if r.status == "done"}
+    second_runs = {(r.job.scenario, r.job.seed): r for r in second if r.status == "done"}
+    return {
+        key: (first_runs[key], second_runs[key]) for key in sorted(first_runs.keys() & second_runs.keys())
+    }
 
 
 def difference(name: str, pairs: Sequence[tuple[Run, Run]], seed: int = 1) -> Difference:
-    """Of some pairs.  Raises ValueError for none."""
+    """The difference over some pairs; `seed` is that of the bootstrap.  Raises ValueError for no pairs."""
     if not pairs:
         raise ValueError(f"{name}: no scenario and seed that both sides have played")
-    one = np.array([a.service for a, _ in pairs], dtype=float)
-    other = np.array([b.service for _, b in pairs], dtype=float)
-    apart = other - one
+    first = np.array([run.service for run, _ in pairs], dtype=float)
+    second = np.array([run.service for _, run in pairs], dtype=float)
+    differences = second - first
     rng = np.random.default_rng(seed)
-    means = apart[rng.integers(0, len(apart), (DRAWS, len(apart)))].mean(axis=1)
-    low, high = np.quantile(means, [(1 - SHARE) / 2, (1 + SHARE) / 2])
-    student = None
-    if len(apart) > 1 and apart.std() > 0:
-        found = stats.t.interval(SHARE, len(apart) - 1, apart.mean(), stats.sem(apart))
-        student = (float(found[0]), float(found[1]))
+    means = differences[rng.integers(0, len(differences), (BOOTSTRAP_SAMPLES, len(differences)))].mean(axis=1)
+    low, high = np.quantile(means, [(1 - CONFIDENCE) / 2, (1 + CONFIDENCE) / 2])
+    student_interval = None
+    if len(differences) > 1 and differences.std() > 0:
+        interval = stats.t.interval(
+            CONFIDENCE, len(differences) - 1, differences.mean(), stats.sem(differences)
+        )
+        student_interval = (float(interval[0]), float(interval[1]))
     return Difference(
-        name, len(pairs), float(one.mean()), float(other.mean()), float(low), float(high), student,
-        int((apart < 0).sum()), (sum(not a.kept for a, _ in pairs), sum(not b.kept for _, b in pairs)),
+        name, len(pairs), float(first.mean()), float(second.mean()), float(low), float(high),
+        student_interval, int((differences < 0).sum()),
+        (sum(not run.rules_kept for run, _ in pairs), sum(not run.rules_kept for _, run in pairs)),
     )  # fmt: skip
 
 
 def compare(first: Iterable[Run], second: Iterable[Run]) -> list[Difference]:
-    """Each scenario, and last all of them together.  Raises ValueError where no pair is there."""
-    pairs = paired(first, second)
+    """The difference of each scenario, and last that of all of them.  Raises ValueError for no pairs."""
+    pairs = pair_runs(first, second)
     names = sorted({scenario for scenario, _ in pairs})
-    by_name = [(n, [p for (s, _), p in pairs.items() if s == n]) for n in names]
-    return [difference(n, p) for n, p in by_name] + [difference("all", list(pairs.values()))]
+    by_name = [(name, [pair for (s, _), pair in pairs.items() if s == name]) for name in names]
+    return [difference(name, p) for name, p in by_name] + [difference("all", list(pairs.values()))]
 
 
-def ranks(one: Sequence[float], other: Sequence[float]) -> tuple[float, float]:
-    """Spearman's rank correlation of two orders, and Kendall's."""
+def rank_correlations(one: Sequence[float], other: Sequence[float]) -> tuple[float, float]:
+    """Spearman's and Kendall's rank correlation of two series."""
     return float(stats.spearmanr(one, other).statistic), float(stats.kendalltau(one, other).statistic)
--- a/eiderstep/lab/experiment/hunt.py
+++ b/eiderstep/lab/experiment/hunt.py
@@ -1,9 +1,9 @@
-"""The search for the draw of a scenario that goes worst, and its shrinking to what matters.
+"""Searches for the draws of a scenario with the worst result, and shrinks them to what causes it.
 
-What is sought: a broken rule, a call without an answer or a circuit left busy before all else; then the
-widest gap between service and what capacity would have allowed.  First seeds at random, then steps from the
-worst found, one draw moved at a time.  Then it is shrunk: troubles are left out and draws moved to their
-milder end as long as it stays as bad.  Decisions alone are here; plays are asked for by `play`.
+A broken rule, a call without a final response or a circuit left busy is the worst; after that, the gap
+between service and its upper bound counts.  The search tries one seed after another, then changes single
+draws of the worst play found.  Shrinking leaves out troubles and moves draws toward their low end as long as
+the result stays about as bad.  This module has no I/O: the caller supplies `play`, which runs the jobs.
 """
 
 from __future__ import annotations
@@ -16,17 +16,17 @@
 from eiderstep.lab.emulator.scenario import Range
 from eiderstep.lab.experiment.store import Job, Run
 
-STAYS = 0.8  # of the gap, that a shrunk draw must keep
-HALVES = 3  # steps toward the milder end
+MIN_KEPT_GAP = 0.8  # share of the gap that must remain after a step of shrinking
+HALVING_STEPS = 3  # steps by which a draw is moved toward its low end, each half of the rest
 BROKEN = 10.0  # badness of a run that breaks a rule, more than any gap
-ENDLESS = 20.0
+ENDLESS = 20.0  # badness of a run that does not end
 
-Plays = Callable[[Sequence[Job]], Sequence[Run]]  # several at once; results in the same order
+PlayJobs = Callable[[Sequence[Job]], Sequence[Run]]  # plays jobs, perhaps in parallel; results in their order
 
 
 @dataclass
-class Found:
-    """The worst draw, what it came to, and how it was come by."""
+class HuntResult:
+    """A play with its badness; for the result of a search also its history and the number of plays."""
 
     job: Job
     run: Run
@@ -38,132 +38,143 @@
 
 
 def badness(run: Run) -> tuple[float, str]:
-    """How bad a run is, and in what way."""
+    """How bad a run is, 0 or more, and the reason."""
     if run.status == "failed":
         return 0.0, f"cannot be played: {run.result.get('why')}"
     if run.status == "endless":
         return ENDLESS, f"never ends: {run.result.get('why')}"
-    r = run.result
-    if r["breaches"]:
-        return BROKEN + 1, str(r["breaches"][0]).partition(" at ")[0]
-    for what in ("errors", "unanswered", "left_calls", "left_circuits"):
-        if r[what]:
-            return BROKEN, what.replace("_", " ")
-    top = r["bound"] if r["bound"] is not None else 1.0
-    return max(top - r["service"]["service"], 0.0), "gap"
-
-
-def moved(draws: Mapping[str, Any], ranges: Mapping[str, Range], rng: Random) -> dict[str, Any]:
-    """The same draws with one of them moved: by a sixth of its range or so, or anew."""
-    made = dict(draws)
-    names = sorted(n for n in ranges if n in made and ranges[n].values[:1] != ("lots",))
+    result = run.result
+    if result["breaches"]:
+        return BROKEN + 1, str(result["breaches"][0]).partition(" at ")[0]
+    for key in ("errors", "unanswered", "left_calls", "left_circuits"):
+        if result[key]:
+            return BROKEN, key.replace("_", " ")
+    upper_bound = result["bound"] if result["bound"] is not None else 1.0
+    return max(upper_bound - result["service"]["service"], 0.0), "gap"
+
+
+def mutated_draws(draws: Mapping[str, Any], ranges: Mapping[str, Range], rng: Random) -> dict[str, Any]:
+    """A copy of the draws with one of them changed.
+
+    A number is drawn anew from its range with probability 0.3, and otherwise moved by a normal deviate with a
+    standard deviation of a sixth of the range.
+    """
+    mutated = dict(draws)
+    names = sorted(n for n in ranges if n in mutated and ranges[n].choices[:1] != ("lots",))
     if not names:
-        return made
+        return mutated
     name = rng.choice(names)
     among = ranges[name]
-    if among.values:
-        made[name] = rng.choice(among.values)
+    if among.choices:
+        mutated[name] = rng.choice(among.choices)
     elif rng.random() < 0.3:
-        made[name] = drawn(among, rng.uniform(among.low, among.high))
+        mutated[name] = rounded(among, rng.uniform(among.low, among.high))
     else:
         step = rng.gauss(0, (among.high - among.low) / 6)
-        made[name] = drawn(among, min(max(made[name] + step, among.low), among.high))
-    return made
+        mutated[name] = rounded(among, min(max(mutated[name] + step, among.low), among.high))
+    return mutated
 
 
-def drawn(among: Range, value: float) -> float:
-    """A value as a draw of that range would be."""
-    return round(value) if among.whole else round(value, 6)
+def rounded(among: Range, value: float) -> float:
+    """Round a value as `Draws.draw` does for that range."""
+    return round(value) if among.integer else round(value, 6)
 
 
 class Hunt:
-    """One hunt.  `ranges` are those of the scenario's draws, `troubles` how many it has."""
+    """One search.  `ranges`: those of the scenario's draws; `troubles`: the number of its troubles."""
 
-    def __init__(self, play: Plays, ranges: Mapping[str, Range], troubles: int, seed: int) -> None:
-        self.play, self.ranges, self.troubles = play, ranges, troubles
+    def __init__(self, play: PlayJobs, ranges: Mapping[str, Range], troubles: int, seed: int) -> None:
+        self.play, self.ranges, self.trouble_count = play, ranges, troubles
         self.rng = Random(seed)
         self.played = 0
         self.history: list[str] = []
 
-    def free(self, draws: Mapping[str, Any]) -> dict[str, Any]:
-        """Draws that stand for themselves.
+    def settable_draws(self, draws: Mapping[str, Any]) -> dict[str, Any]:
+        """The draws that can be fixed independently, which excludes lots.
 
-        Lots follow from the seed and from how many are drawn: held fast, they would stay as many as they were
-        when that number is made smaller.
+        Lots follow from the seed and from the number drawn: fixed lots would keep their number when a draw
+        that determines it is made smaller.
         """
-        return {n: v for n, v in draws.items() if self.ranges[n].values[:1] != ("lots",)}
+        return {name: v for name, v in draws.items() if self.ranges[name].choices[:1] != ("lots",)}
 
-    def _tried(self, jobs: Sequence[Job]) -> list[Found]:
+    def _evaluate(self, jobs: Sequence[Job]) -> list[HuntResult]:
         runs = self.play(jobs)
         self.played += len(jobs)
-        found = []
+        results = []
         for job, run in zip(jobs, runs, strict=True):
             bad, why = badness(run)
-            found.append(Found(job, run, bad, why, self.free(run.result.get("draws", {}))))
-        return found
+            results.append(HuntResult(job, run, bad, why, self.settable_draws(run.result.get("draws", {}))))
+        return results
 
-    def search(self, job: Job, budget: int, width: int) -> Found:
-        """The worst of `budget` plays, `width` at a time; half of them at random."""
-        best: Found | None = None
+    def search(self, job: Job, budget: int, batch_size: int) -> HuntResult:
+        """The worst of `budget` plays, `batch_size` at a time: one half with new seeds, one half mutated."""
+        worst: HuntResult | None = None
         seeds = iter(range(job.seed, job.seed + budget))
         while self.played < budget:
-            count = min(width, budget - self.played)
-            if best is None or self.played < budget / 2:
+            count = min(batch_size, budget - self.played)
+            if worst is None or self.played < budget / 2:
                 jobs = [replace(job, seed=next(seeds)) for _ in range(count)]
             else:
-                worst = best
+                base = worst
                 jobs = [
-                    replace(worst.job, fixed=moved(worst.draws, self.ranges, self.rng)) for _ in range(count)
+                    replace(base.job, fixed=mutated_draws(base.draws, self.ranges, self.rng))
+                    for _ in range(count)
                 ]
-            for one in self._tried(jobs):
-                if best is None or one.badness > best.badness:
-                    best = one
-                    self.history.append(f"play {self.played}: {one.why} {one.badness:.3f}")
-        assert best is not None
-        best.history, best.played = self.history, self.played
-        return best
-
-    def _as_bad(self, one: Found, than: Found) -> bool:
-        if than.badness >= BROKEN:
-            return one.badness >= BROKEN and one.why == than.why
-        return one.badness >= STAYS * than.badness
-
-    def shrink(self, found: Found) -> Found:
-        """What matters of it: fewest troubles, mildest draws."""
-        first = best = found
-        for number in reversed(range(self.troubles)):
-            if self.troubles - len(best.job.without) <= 1:
+            for result in self._evaluate(jobs):
+                if worst is None or result.badness > worst.badness:
+                    worst = result
+                    self.history.append(f"play {self.played}: {result.why} {result.badness:.3f}")
+        assert worst is not None
+        worst.history, worst.played = self.history, self.played
+        return worst
+
+    def _is_as_bad(self, result: HuntResult, reference: HuntResult) -> bool:
+        if reference.badness >= BROKEN:
+            return result.badness >= BROKEN and result.why == reference.why
+        return result.badness >= MIN_KEPT_GAP * reference.badness
+
+    def shrink(self, found: HuntResult) -> HuntResult:
+        """A result about as bad as the given one, with as few troubles and as low draws as possible."""
+        original = smallest = found
+        for number in reversed(range(self.trouble_count)):
+            if self.trouble_count - len(smallest.job.without) <= 1:
                 break
-            job = replace(best.job, without=tuple(sorted({*best.job.without, number})), fixed=best.draws)
-            (one,) = self._tried([job])
-            if self._as_bad(one, first):
-                self.history.append(f"trouble {number} does not matter: {one.badness:.3f}")
-                best = replace_draws(one, best)
+            job = replace(
+                smallest.job,
+                without=tuple(sorted({*smallest.job.without, number})),
+                fixed=smallest.draws,
+            )
+            (result,) = self._evaluate([job])
+            if self._is_as_bad(result, original):
+                self.history.append(f"trouble {number} does not matter: {result.badness:.3f}")
+                smallest = keep_missing_draws(result, smallest)
         for name, among in sorted(self.ranges.items()):
-            if not among.values and name in best.draws:
-                best = self._milder(name, among, best, first)
-        best.history, best.played = self.history, self.played
-        return best
-
-    def _milder(self, name: str, among: Range, best: Found, first: Found) -> Found:
-        """One draw moved toward its mild end, by halves that are all tried at once."""
-        steps, now = [], best.draws[name]
-        for _ in range(HALVES):
-            milder = drawn(among, among.low + (now - among.low) / 2)
-            if milder == now:
+            if not among.choices and name in smallest.draws:
+                smallest = self._shrink_draw(name, among, smallest, original)
+        smallest.history, smallest.played = self.history, self.played
+        return smallest
+
+    def _shrink_draw(self, name: str, among: Range, smallest: HuntResult, original: HuntResult) -> HuntResult:
+        """Move one draw toward its low end, halving the distance in steps that are all played at once."""
+        steps, current = [], smallest.draws[name]
+        for _ in range(HALVING_STEPS):
+            lower = rounded(among, among.low + (current - among.low) / 2)
+            if lower == current:
                 break
-            steps.append(milder)
-            now = milder
-        tried = self._tried([replace(best.job, fixed=best.draws | {name: step}) for step in steps])
-        for step, one in zip(steps, tried, strict=True):
-            if not self._as_bad(one, first):
+            steps.append(lower)
+            current = lower
+        results = self._evaluate(
+            [replace(smallest.job, fixed=smallest.draws | {name: step}) for step in steps]
+        )
+        for step, result in zip(steps, results, strict=True):
+            if not self._is_as_bad(result, original):
                 break
-            self.history.append(f"{name} {best.draws[name]} -> {step}: {one.badness:.3f}")
-            best = replace_draws(one, best)
-        return best
+            self.history.append(f"{name} {smallest.draws[name]} -> {step}: {result.badness:.3f}")
+            smallest = keep_missing_draws(result, smallest)
+        return smallest
 
 
-def replace_draws(one: Found, before: Found) -> Found:
-    """A draw whose trouble is gone need not have been made: it is kept as it was."""
-    one.draws = before.draws | one.draws
-    return one
+def keep_missing_draws(result: HuntResult, previous: HuntResult) -> HuntResult:
+    """Add the previous draws that a play no longer made because the trouble that used them is left out."""
+    result.draws = previous.draws | result.draws
+    return result
--- a/eiderstep/lab/experiment/report.py
+++ b/eiderstep/lab/experiment/report.py
@@ -1,4 +1,4 @@
-"""An experiment as one HTML page that stands alone: tables, and charts drawn into it as SVG."""
+"""Renders an experiment as one self-contained HTML page with tables and an inline SVG chart."""
 
 from __future__ import annotations
 
@@ -44,90 +44,96 @@
 """
 
 
-def wrong(run: Run) -> str:
-    """What is not good about a run, in a few words."""
-    r = run.result
+def describe_failure(run: Run) -> str:
+    """Why a run is not good, in a few words."""
+    result = run.result
     if run.status != "done":
-        return f"{run.status}: {r.get('why', '')}"
-    left = [f"{r[k]} {k.replace('_', ' ')}" for k in ("unanswered", "left_calls", "left_circuits") if r[k]]
-    missed = [f"{f['what']} is {f['found']}" for f in r["failed"]]
-    return "; ".join([*r["breaches"][:3], *left, *r["errors"][:1], *missed]) or "nothing that is told"
+        return f"{run.status}: {result.get('why', '')}"
+    left = [
+        f"{result[key]} {key.replace('_', ' ')}"
+        for key in ("unanswered", "left_calls", "left_circuits")
+        if result[key]
+    ]
+    missed = [f"{f['what']} is {f['found']}" for f in result["failed"]]
+    return (
+        "; ".join([*result["breaches"][:3], *left, *result["errors"][:1], *missed]) or "nothing that is told"
+    )
 
 
-def rows(runs: Sequence[Run]) -> list[dict[str, Any]]:
-    """One a scenario and setting."""
+def table_rows(runs: Sequence[Run]) -> list[dict[str, Any]]:
+    """The figures of the table by scenario, one row for each scenario and setting."""
     grouped: dict[tuple[str, str], list[Run]] = {}
     for run in runs:
         grouped.setdefault((run.job.scenario, run.job.setting), []).append(run)
-    made = []
-    for (scenario, setting), here in sorted(grouped.items()):
-        done = [r for r in here if r.status == "done"]
+    rows = []
+    for (scenario, setting), group in sorted(grouped.items()):
+        done = [r for r in group if r.status == "done"]
 
-        def mean(what: str, done: list[Run] = done) -> float:
-            found = [r.result["measures"][what] for r in done if what in r.result["measures"]]
-            return sum(found) / len(found) if found else float("nan")
+        def mean(measure: str, done: list[Run] = done) -> float:
+            values = [r.result["measures"][measure] for r in done if measure in r.result["measures"]]
+            return sum(values) / len(values) if values else float("nan")
 
         bounds = [r.result["bound"] for r in done if r.result["bound"] is not None]
-        made.append(
+        rows.append(
             {
-                "scenario": scenario, "setting": setting, "plays": len(here),
+                "scenario": scenario, "setting": setting, "plays": len(group),
                 "service": f"{mean('service'):.3f}",
                 "lowest": f"{min((r.result['measures']['service'] for r in done), default=float('nan')):.3f}",
                 "bound": f"{sum(bounds) / len(bounds):.3f}" if bounds else "",
                 "p99": f"{mean('set_up_p99_ms'):.0f}", "tries": f"{mean('tries_per_call'):.2f}",
                 "back": f"{mean('recovery_s'):.0f}",
-                "broken": sum(not r.kept for r in here),
+                "broken": sum(not r.rules_kept for r in group),
                 "missed": sum(bool(r.result.get("failed")) for r in done),
                 "value": mean("service"), "top": sum(bounds) / len(bounds) if bounds else None,
             }
         )  # fmt: skip
-    return made
+    return rows
 
 
-def chart(table: Sequence[dict[str, Any]]) -> str:
-    """Service of each row against its bound, as SVG."""
+def draw_chart(table: Sequence[dict[str, Any]]) -> str:
+    """A chart of the service of each row and its upper bound, as SVG."""
     figure, axes = pyplot.subplots(figsize=(10, 0.6 + 0.26 * len(table)))
     labels = [r["scenario"] + ("" if r["setting"] == "as scripted" else f" ({r['setting']})") for r in table]
-    places = list(range(len(table)))[::-1]
-    axes.barh(places, [r["value"] for r in table], color="#4c78a8", height=0.7)
-    tops = [(p, r["top"]) for p, r in zip(places, table, strict=True) if r["top"] is not None]
-    axes.plot([t for _, t in tops], [p for p, _ in tops], "|", color="#d62728", markersize=10)
-    axes.set_yticks(places, labels, fontsize=8)
+    positions = list(range(len(table)))[::-1]
+    axes.barh(positions, [r["value"] for r in table], color="#4c78a8", height=0.7)
+    bounds = [(y, r["top"]) for y, r in zip(positions, table, strict=True) if r["top"] is not None]
+    axes.plot([bound for _, bound in bounds], [y for y, _ in bounds], "|", color="#d62728", markersize=10)
+    axes.set_yticks(positions, labels, fontsize=8)
     axes.set_xlim(0, 1.02)
     axes.set_xlabel("service; the mark is the bound (simulated)")
     figure.tight_layout()
-    sink = io.StringIO()
+    svg = io.StringIO()
     with matplotlib.rc_context({"svg.hashsalt": "eiderstep"}):
-        figure.savefig(sink, format="svg", metadata={"Date": None})
+        figure.savefig(svg, format="svg", metadata={"Date": None})
     pyplot.close(figure)
-    return sink.getvalue()[sink.getvalue().index("<svg") :]
+    return svg.getvalue()[svg.getvalue().index("<svg") :]
 
 
-def comparisons(runs: Sequence[Run]) -> list[tuple[str, list[Difference]]]:
-    """Every setting beside the first of them."""
+def compare_settings(runs: Sequence[Run]) -> list[tuple[str, list[Difference]]]:
+    """The differences of each setting from the first one ("as scripted", if it was played), with a title."""
     settings = list(
         dict.fromkeys(r.job.setting for r in sorted(runs, key=lambda r: r.job.setting != "as scripted"))
     )
-    found = []
+    comparisons = []
     for other in settings[1:]:
         first = [r for r in runs if r.job.setting == settings[0]]
         second = [r for r in runs if r.job.setting == other]
         try:
-            found.append((f"{other}, beside {settings[0]}", compare(first, second)))
+            comparisons.append((f"{other}, beside {settings[0]}", compare(first, second)))
         except ValueError:
             continue  # no scenario and seed in common
-    return found
+    return comparisons
 
 
 def page(name: str, runs: Sequence[Run]) -> str:
-    """The report.  Raises ValueError for an experiment without runs."""
+    """Render the report as HTML.  Raises ValueError for an experiment without runs."""
     if not runs:
         raise ValueError(f"experiment {name!r} has no runs yet")
-    table = rows(runs)
-    troubled = [r for r in runs if r.status != "done" or not r.result["good"]]
+    table = table_rows(runs)
+    failed = [r for r in runs if r.status != "done" or not r.result["good"]]
     environment = jinja2.Environment(autoescape=True, undefined=jinja2.StrictUndefined)
     return environment.from_string(PAGE).render(
         name=name, runs=runs, codes=sorted({r.code for r in runs}), rows=table,
-        chart=Markup(chart(table)), comparisons=comparisons(runs),
-        troubled=troubled[:50], wrong=wrong,
+        chart=Markup(draw_chart(table)), comparisons=compare_settings(runs),
+        troubled=failed[:50], wrong=describe_failure,
     )  # fmt: skip
--- a/eiderstep/lab/experiment/runner.py
+++ b/eiderstep/lab/experiment/runner.py
@@ -1,4 +1,7 @@
-"""Running a grid of jobs over processes.  Each result is stored as it comes: a stop loses the open ones."""
+"""Runs a grid of jobs in several processes.
+
+Each result is stored when its job completes, so that an interruption loses only the jobs in progress.
+"""
 
 from __future__ import annotations
 
@@ -13,90 +16,99 @@
 from eiderstep.config.load import ConfigError
 from eiderstep.lab.baselines import MINDS
 from eiderstep.lab.clock import Endless
-from eiderstep.lab.emulator.rehearse import ALLOWED, play
-from eiderstep.lab.emulator.scenario import library, load
+from eiderstep.lab.emulator.rehearse import MAX_CALLBACKS, play
+from eiderstep.lab.emulator.scenario import list_scenarios, load
 from eiderstep.lab.experiment.store import Job, Results, Run, code_version
 
-WALL = 900  # seconds after which a play is given up, whatever it is at
+WALL_TIMEOUT_SECONDS = 900  # for one play
 
 
 @dataclass(frozen=True)
 class Grid:
-    """What to play: every scenario with every seed, fleet, decider and set of draws."""
+    """What to play: each scenario with each seed, count of call servers, decision module and set of draws."""
 
     folder: str
-    scenarios: Sequence[str] = ()  # names or groups; none: all of the folder
+    scenarios: Sequence[str] = ()  # names or groups; empty: all of the folder
     seeds: Sequence[int] = (1,)
-    servers: Sequence[int] = (-1,)
+    servers: Sequence[int] = (-1,)  # as in `Job`
     minds: Sequence[str] = ("module",)
-    settings: Sequence[dict[str, Any]] = field(default_factory=lambda: [{}])
+    settings: Sequence[dict[str, Any]] = field(default_factory=lambda: [{}])  # draws set by name
 
     def paths(self) -> list[Path]:
-        """Raises ValueError that names what is not there."""
-        root, every = Path(self.folder), library(Path(self.folder))
-        names = {p.relative_to(root).with_suffix("").as_posix(): p for p in every}
-        if not every:
+        """The files of the scenarios, by name.  Raises ValueError that names a scenario that is not found."""
+        root, files = Path(self.folder), list_scenarios(Path(self.folder))
+        names = {p.relative_to(root).with_suffix("").as_posix(): p for p in files}
+        if not files:
             raise ValueError(f"found no scenario in {root}; allowed: a folder of GROUP/NAME.star")
-        found: dict[str, Path] = {}
+        selected: dict[str, Path] = {}
         for wanted in self.scenarios or [""]:
-            here = {
-                n: p
-                for n, p in names.items()
-                if not wanted or n == wanted or n.startswith(wanted.rstrip("/") + "/")
+            matching = {
+                name: path
+                for name, path in names.items()
+                if not wanted or name == wanted or name.startswith(wanted.rstrip("/") + "/")
             }
-            if not here:
+            if not matching:
                 raise ValueError(f"found {wanted!r}; allowed: {', '.join(names)}, or a group of them")
-            found |= here
-        return [found[n] for n in sorted(found)]
+            selected |= matching
+        return [selected[name] for name in sorted(selected)]
 
     def jobs(self) -> Iterator[Job]:
+        """All combinations, the seeds varying fastest.  Raises ValueError as `paths` does."""
         root = Path(self.folder)
         for path in self.paths():
             name = path.relative_to(root).with_suffix("").as_posix()
-            text = hashlib.sha256(path.read_bytes()).hexdigest()[:12]
+            digest = hashlib.sha256(path.read_bytes()).hexdigest()[:12]
             for servers in self.servers:
                 for mind in self.minds:
                     for fixed in self.settings:
                         for seed in self.seeds:
-                            yield Job(name, text, seed, servers, mind, dict(fixed))
+                            yield Job(name, digest, seed, servers, mind, dict(fixed))
 
 
-class _TooLong(BaseException):
-    """The wall clock ran out; no `except Exception` within the day may take it."""
+class _WallTimeout(BaseException):
+    """A play exceeded its wall-clock time.  A BaseException, so that no `except Exception` catches it."""
 
 
-def _alarm(number: int, frame: object) -> None:
-    raise _TooLong
+def _raise_wall_timeout(number: int, frame: object) -> None:
+    raise _WallTimeout
 
 
-def run_job(folder: str, job: Job, code: str, allowed: int = ALLOWED, wall: int = WALL) -> Run:
-    """One play, in whatever process.  Never raises: what went wrong is the run's result.
+def run_job(
+    folder: str,
+    job: Job,
+    code: str,
+    max_callbacks: int = MAX_CALLBACKS,
+    wall_timeout: int = WALL_TIMEOUT_SECONDS,
+) -> Run:
+    """Play one job in the current process.  Raises no Exception: a failure is the result of the run.
 
-    A scenario that never ends is stopped after `allowed` callbacks, at the same point on any machine; one
-    that hangs within a callback after `wall` seconds.
+    A scenario that does not end is stopped after `max_callbacks` callbacks, which is at the same point on any
+    machine; one that hangs within a callback is stopped after `wall_timeout` seconds.
     """
-    signal.signal(signal.SIGALRM, _alarm)
-    signal.alarm(wall)
+    signal.signal(signal.SIGALRM, _raise_wall_timeout)
+    signal.alarm(wall_timeout)
     try:
         path = Path(folder) / f"{job.scenario}.star"
         scenario, draws = load(path, job.seed, job.fixed, job.without)
         servers = None if job.servers < 0 else job.servers
-        found, _ = play(scenario, draws, servers=servers, mind=MINDS[job.mind], allowed=allowed)
-        return Run(job, code, "done", found.as_json())
-    except Endless as problem:
-        return Run(job, code, "endless", {"why": str(problem)})
-    except _TooLong:
-        return Run(job, code, "endless", {"why": f"over {wall} s"})
-    except ConfigError as problem:
-        return Run(job, code, "failed", {"why": str(problem)})
-    except Exception as problem:  # one play that fails must not end the experiment
-        return Run(job, code, "failed", {"why": f"{type(problem).__name__}: {problem}"})
+        rehearsal, _ = play(
+            scenario, draws, servers=servers, mind=MINDS[job.mind], max_callbacks=max_callbacks
+        )
+        return Run(job, code, "done", rehearsal.as_json())
+    except Endless as error:
+        return Run(job, code, "endless", {"why": str(error)})
+    except _WallTimeout:
+        return Run(job, code, "endless", {"why": f"over {wall_timeout} s"})
+    except ConfigError as error:
+        return Run(job, code, "failed", {"why": str(error)})
+    except Exception as error:  # one play that fails must not end the experiment
+        return Run(job, code, "failed", {"why": f"{type(error).__name__}: {error}"})
     finally:
         signal.alarm(0)
 
 
 class Pool:
-    """Processes that play what a hunt asks for; each result is stored too."""
+    """Processes that play the jobs of a hunt; each result is also stored."""
 
     def __init__(self, folder: str, processes: int, results: Results, name: str) -> None:
         self.folder, self.results, self.name = folder, results, name
@@ -110,11 +122,11 @@
         self.pool.shutdown(cancel_futures=True)
 
     def play(self, jobs: Sequence[Job]) -> list[Run]:
-        """All of them, results in their order."""
-        waiting = [self.pool.submit(run_job, self.folder, job, self.code) for job in jobs]
-        runs = [future.result() for future in waiting]
-        for one in runs:
-            self.results.add(self.name, one)
+        """Play jobs in parallel; returns the runs in the order of the jobs."""
+        futures = [self.pool.submit(run_job, self.folder, job, self.code) for job in jobs]
+        runs = [future.result() for future in futures]
+        for completed in runs:
+            self.results.add(self.name, completed)
         return runs
 
 
@@ -123,38 +135,39 @@
     name: str,
     grid: Grid,
     processes: int,
-    when: str,
-    heard: Callable[[Run, int, int], None] = lambda *_: None,
-    most: int = 0,
+    started_at: str,
+    on_result: Callable[[Run, int, int], None] = lambda *_: None,
+    max_plays: int = 0,
 ) -> int:
-    """Play what is missing; returns how many were played.
+    """Play the jobs of a grid that have no stored result yet; returns how many were played.
 
-    `heard` gets each run, how many are done and of how many; `most`: stop after that many, 0 for none.
-    Raises StoreError where an experiment of that name has another plan.
+    `started_at`: start time to store for a new experiment; `on_result` gets each run, the number of completed
+    jobs and the number of all jobs; `max_plays`: stop after so many plays, 0 for no limit.  Raises StoreError
+    if an experiment of that name has another plan, ValueError if a scenario is not found.
     """
     jobs = list(grid.jobs())
     plan = {
         "folder": grid.folder, "scenarios": list(grid.scenarios), "seeds": list(grid.seeds),
         "servers": list(grid.servers), "minds": list(grid.minds), "settings": list(grid.settings),
     }  # fmt: skip
-    results.begin(name, plan, when)
+    results.begin(name, plan, started_at)
     code = code_version()
-    have = results.have(name, code)
-    open_jobs = [job for job in jobs if job.key not in have]
-    if most:
-        open_jobs = open_jobs[:most]
-    done = len(jobs) - len(open_jobs)
+    completed = results.completed_keys(name, code)
+    pending_jobs = [job for job in jobs if job.key not in completed]
+    if max_plays:
+        pending_jobs = pending_jobs[:max_plays]
+    done_count = len(jobs) - len(pending_jobs)
     with ProcessPoolExecutor(processes) as pool:
-        waiting = {pool.submit(run_job, grid.folder, job, code) for job in open_jobs}
+        pending = {pool.submit(run_job, grid.folder, job, code) for job in pending_jobs}
         try:
-            while waiting:
-                ready, waiting = wait(waiting, return_when=FIRST_COMPLETED)
+            while pending:
+                ready, pending = wait(pending, return_when=FIRST_COMPLETED)
                 for future in ready:
-                    one = future.result()
-                    results.add(name, one)
-                    done += 1
-                    heard(one, done, len(jobs))
+                    played = future.result()
+                    results.add(name, played)
+                    done_count += 1
+                    on_result(played, done_count, len(jobs))
         finally:
-            for future in waiting:
+            for future in pending:
                 future.cancel()
-    return len(open_jobs)
+    return len(pending_jobs)
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -1,4 +1,4 @@
-"""The emulator: hosts, conditions, processors, links, scenarios; every trouble beside every other."""
+"""Tests of the emulator: hosts, conditions, processors, links, scenarios, and overlapping troubles."""
 
 from __future__ import annotations
 
@@ -21,9 +21,9 @@
 from eiderstep.lab import day as days
 from eiderstep.lab.clock import Endless, VirtualLoop
 from eiderstep.lab.emulator import rehearse as lab
-from eiderstep.lab.emulator.conditions import JOINED, Conditions
+from eiderstep.lab.emulator.conditions import COMBINATIONS, Conditions
 from eiderstep.lab.emulator.hosts import Host
-from eiderstep.lab.emulator.scenario import Draws, Scenario, library, load
+from eiderstep.lab.emulator.scenario import Draws, Scenario, list_scenarios, load
 from eiderstep.lab.emulator.troubles import TROUBLES
 from eiderstep.lab.script import KINDS, MS, SECOND, Trouble
 from eiderstep.sip.message import split_address
@@ -56,37 +56,38 @@
     return path
 
 
-def virtual(
-    what: Callable[[VirtualLoop], Coroutine[Any, Any, None]], loop: VirtualLoop | None = None
+def run_virtual(
+    test: Callable[[VirtualLoop], Coroutine[Any, Any, None]], loop: VirtualLoop | None = None
 ) -> None:
+    """Run a test on a virtual loop, and check that no callback failed."""
     loop = loop or VirtualLoop()
     try:
-        loop.run_until_complete(what(loop))
+        loop.run_until_complete(test(loop))
         assert loop.errors == []
     finally:
         loop.close()
 
 
-# -- the loop and its hosts ------------------------------------------------------------------------------
+# -- loop and hosts --------------------------------------------------------------------------------------
 
 
-def test_timers_of_one_moment_run_in_the_order_in_which_they_were_set() -> None:
-    seen: list[int] = []
+def test_timers_due_at_the_same_time_run_in_the_order_they_were_set() -> None:
+    ran: list[int] = []
 
     async def run(loop: VirtualLoop) -> None:
-        at = loop.time() + 1
-        handles = [loop.call_at(at, seen.append, n) for n in range(1500)]
+        due = loop.time() + 1
+        handles = [loop.call_at(due, ran.append, n) for n in range(1500)]
         for n in range(1500):
             if n % 3:
                 handles[n].cancel()
-        assert len(loop.timers) < 1500, "cancelled timers are swept out"
+        assert len(loop.timers) < 1500, "cancelled timers must be removed from the heap"
         await asyncio.sleep(2)
 
-    virtual(run)
-    assert seen == list(range(0, 1500, 3))
+    run_virtual(run)
+    assert ran == list(range(0, 1500, 3))
 
 
-def test_a_run_that_never_ends_is_stopped_at_the_same_callback() -> None:
+def test_endless_run_is_stopped_at_the_same_callback_each_time() -> None:
     ends = []
     for _ in range(2):
         loop = VirtualLoop(allowed=5000)
@@ -104,146 +105,161 @@
     assert ends[0] == ends[1]
 
 
-def test_addresses_do_not_run_out_and_none_is_given_twice() -> None:
+def test_free_addresses_are_unique_and_have_valid_ports() -> None:
     loop = VirtualLoop()
-    given = [loop.free_address() for _ in range(100_000)]
+    addresses = [loop.free_address() for _ in range(100_000)]
     loop.close()
-    assert len(set(given)) == len(given)
-    assert all(0 < split_address(address)[1] < 65536 for address in given)
+    assert len(set(addresses)) == len(addresses)
+    assert all(0 < split_address(address)[1] < 65536 for address in addresses)
 
 
-class Echo(asyncio.Protocol):
-    def __init__(self, loop: VirtualLoop, heard: list[tuple[float, bytes]], answer: bool) -> None:
-        self.loop, self.heard, self.answer = loop, heard, answer
+class Recorder(asyncio.Protocol):
+    """Records what arrives, with the time, and sends it back if `echo`."""
+
+    def __init__(self, loop: VirtualLoop, received: list[tuple[float, bytes]], echo: bool) -> None:
+        self.loop, self.received, self.echo = loop, received, echo
 
     def connection_made(self, transport: Any) -> None:
         self.transport = transport
 
     def data_received(self, data: bytes) -> None:
-        self.heard.append((round(self.loop.time(), 4), data))
-        if self.answer:
+        self.received.append((round(self.loop.time(), 4), data))
+        if self.echo:
             self.transport.write(data)
 
 
-async def connected(
-    loop: VirtualLoop, host: Host, heard: list[tuple[float, bytes]], back: list[tuple[float, bytes]]
+async def connect_to_echo_server(
+    loop: VirtualLoop, host: Host, received: list[tuple[float, bytes]], echoed: list[tuple[float, bytes]]
 ) -> Any:
+    """Start an echo server on a host and connect to it; returns the client's transport."""
     with host.on():
-        server = await loop.create_server(lambda: Echo(loop, heard, True))
-    wire, _ = await loop.create_connection(lambda: Echo(loop, back, False), *server.sockets[0].getsockname())
-    return wire
+        server = await loop.create_server(lambda: Recorder(loop, received, True))
+    transport, _ = await loop.create_connection(
+        lambda: Recorder(loop, echoed, False), *server.sockets[0].getsockname()
+    )
+    return transport
 
 
-def test_a_frozen_host_hears_all_in_order_once_it_goes_on() -> None:
-    heard: list[tuple[float, bytes]] = []
-    back: list[tuple[float, bytes]] = []
+def test_frozen_host_receives_everything_in_order_after_the_freeze() -> None:
+    received: list[tuple[float, bytes]] = []
+    echoed: list[tuple[float, bytes]] = []
     ticks: list[float] = []
 
     async def run(loop: VirtualLoop) -> None:
         host, other = Host(loop, "one"), Host(loop, "other")
-        wire = await connected(loop, host, heard, back)
+        transport = await connect_to_echo_server(loop, host, received, echoed)
         with host.on():
             loop.call_later(0.5, lambda: ticks.append(loop.time()))
         with other.on():
             loop.call_later(0.5, lambda: ticks.append(loop.time()))
         began = loop.time()
         host.pause(3.0)
-        host.pause(1.0)  # ends within the other
+        host.pause(1.0)  # ends before the first pause does
         for n in range(5):
-            wire.write(b"%d" % n)
+            transport.write(b"%d" % n)
             await asyncio.sleep(0.2)
-        late, _ = await loop.create_connection(lambda: Echo(loop, back, False), "127.0.0.1", 20001)
-        late.write(b"new")  # its system takes connections while it is frozen
-        assert heard == []
+        # The operating system accepts connections while the process is frozen.
+        late, _ = await loop.create_connection(lambda: Recorder(loop, echoed, False), "127.0.0.1", 20001)
+        late.write(b"new")
+        assert received == []
         await asyncio.sleep(3)
-        assert [d for _, d in heard] == [b"0", b"1", b"2", b"3", b"4", b"new"]
-        assert all(at == round(began + 3.0, 4) for at, _ in heard)
-        assert [round(t - began, 3) for t in ticks] == [0.5, 3.0], "only its own timers wait"
-        assert len(back) == 6
+        assert [data for _, data in received] == [b"0", b"1", b"2", b"3", b"4", b"new"]
+        assert all(at == round(began + 3.0, 4) for at, _ in received)
+        assert [round(t - began, 3) for t in ticks] == [0.5, 3.0], "only the frozen host's timers wait"
+        assert len(echoed) == 6
 
-    virtual(run)
+    run_virtual(run)
 
 
-def test_what_arrives_waits_its_turn_at_a_busy_processor_and_timers_do_not() -> None:
-    heard: list[tuple[float, bytes]] = []
+def test_arriving_bytes_wait_for_a_busy_processor_and_timers_do_not() -> None:
+    received: list[tuple[float, bytes]] = []
 
     async def run(loop: VirtualLoop) -> None:
         processor = Processor(Making(10.0), loop.time, lambda after, what: None, None)
         host = Host(loop, "one", processor)
-        wire = await connected(loop, host, heard, [])
+        transport = await connect_to_echo_server(loop, host, received, [])
         began = loop.time()
         for _ in range(5):
-            wire.write(b"INVITE sip:x")
+            transport.write(b"INVITE sip:x")
         ticks: list[float] = []
         with host.on():
             loop.call_later(0.01, lambda: ticks.append(loop.time() - began))
         await asyncio.sleep(1)
-        gaps = [round(b - a, 3) for (a, _), (b, _) in zip(heard, heard[1:], strict=False)]
-        assert gaps == [0.02] * 4, "a look is a fifth of a set-up, a tenth of a second long"
+        gaps = [
+            round(later - earlier, 3)
+            for (earlier, _), (later, _) in zip(received, received[1:], strict=False)
+        ]
+        assert gaps == [0.02] * 4, "reading an INVITE is a fifth of a set-up, which takes a tenth of a second"
         assert ticks == [pytest.approx(0.01)]
         processor.slow = 10.0
-        wire.write(b"INVITE sip:x")
-        at = loop.time()
+        transport.write(b"INVITE sip:x")
+        sent_at = loop.time()
         await asyncio.sleep(0.1)
-        assert len(heard) == 5
+        assert len(received) == 5
         await asyncio.sleep(0.2)
-        assert heard[5][0] - at == pytest.approx(0.2005, abs=0.001)
-        await asyncio.sleep(1)  # the echo is a set-up, and work too
+        assert received[5][0] - sent_at == pytest.approx(0.2005, abs=0.001)
+        await asyncio.sleep(1)  # the echoed INVITE is a set-up and therefore work too
         processor.slow = 1.0
         host.hang(1.0)
-        host.hang(0.5)  # within the other
+        host.hang(0.5)  # ends before the first hang does
         assert host.backlog() == pytest.approx(1.0)
         await asyncio.sleep(0.5)
         host.hang(1.0)
-        wire.write(b"INVITE sip:x")
-        at = loop.time()
+        transport.write(b"INVITE sip:x")
+        sent_at = loop.time()
         await asyncio.sleep(2)
-        assert heard[6][0] - at == pytest.approx(1.02, abs=0.001), "the end of the last, and its own look"
+        assert received[6][0] - sent_at == pytest.approx(1.02, abs=0.001), (
+            "it waits for the end of the last hang and is then read itself"
+        )
 
-    virtual(run)
+    run_virtual(run)
 
 
-def test_segments_that_are_lost_come_late_and_in_order() -> None:
-    heard: list[tuple[float, bytes]] = []
+def test_lost_segments_arrive_late_and_in_order() -> None:
+    received: list[tuple[float, bytes]] = []
 
     async def run(loop: VirtualLoop) -> None:
         loop.at("here")
         with Host(loop, "far").on():
-            server = await loop.create_server(lambda: Echo(loop, heard, False))
+            server = await loop.create_server(lambda: Recorder(loop, received, False))
         loop.at("there")
-        wire, _ = await loop.create_connection(
-            lambda: Echo(loop, [], False), *server.sockets[0].getsockname()
+        transport, _ = await loop.create_connection(
+            lambda: Recorder(loop, [], False), *server.sockets[0].getsockname()
         )
         loop.network.losses["there", "here"] = 0.3
         for n in range(200):
-            wire.write(b"%03d" % n)
+            transport.write(b"%03d" % n)
             await asyncio.sleep(0.01)
         await asyncio.sleep(10)
 
-    virtual(run)
-    assert [d for _, d in heard] == [b"%03d" % n for n in range(200)]
-    assert len({at for at, _ in heard}) < 150, "some were held up by a lost one before them"
+    run_virtual(run)
+    assert [data for _, data in received] == [b"%03d" % n for n in range(200)]
+    assert len({at for at, _ in received}) < 150, "some segments must wait for a lost one before them"
 
 
 # -- conditions and processors ---------------------------------------------------------------------------
 
 
-@given(st.lists(st.tuples(st.sampled_from(sorted(JOINED)), st.floats(0, 1), st.integers(0, 5)), max_size=30))
-def test_conditions_leave_nothing_behind_in_whatever_order_they_end(
-    found: list[tuple[str, float, int]],
+@given(
+    st.lists(
+        st.tuples(st.sampled_from(sorted(COMBINATIONS)), st.floats(0, 1), st.integers(0, 5)), max_size=30
+    )
+)
+def test_values_return_to_their_defaults_in_whatever_order_conditions_end(
+    drawn: list[tuple[str, float, int]],
 ) -> None:
     conditions = Conditions()
-    begun = [(conditions.begin(1, what, value), order) for what, value, order in found]
-    for what, (_, usual) in JOINED.items():
-        if all(one.what != what for one, _ in begun):
-            assert conditions.of(1, what) == usual
-    for one, _ in sorted(begun, key=lambda pair: pair[1]):
-        conditions.end(one)
-        conditions.end(one)
-    assert all(conditions.of(1, what) == usual for what, (_, usual) in JOINED.items())
+    begun = [(conditions.begin(1, kind, value), order) for kind, value, order in drawn]
+    for kind, (_, default) in COMBINATIONS.items():
+        if all(condition.kind != kind for condition, _ in begun):
+            assert conditions.of(1, kind) == default
+    for condition, _ in sorted(begun, key=lambda pair: pair[1]):
+        conditions.end(condition)
+        conditions.end(condition)
+    assert all(conditions.of(1, kind) == default for kind, (_, default) in COMBINATIONS.items())
 
 
-def test_conditions_join_as_their_kind_does() -> None:
+def test_conditions_of_one_kind_are_combined_by_its_rule() -> None:
     conditions = Conditions()
     first, second = conditions.begin(1, "slow", 3.0), conditions.begin(1, "slow", 4.0)
     assert conditions.of(1, "slow") == 12.0 and conditions.of(2, "slow") == 1.0
@@ -260,13 +276,13 @@
 
 
 @pytest.mark.parametrize("shape", SHAPES)
-def test_a_warm_up_goes_from_cold_to_warm_and_never_back(shape: str) -> None:
+def test_warm_up_rises_monotonically_from_cold_to_warm(shape: str) -> None:
     steps = [warmth(shape, n / 50) for n in range(-5, 60)]
     assert steps == sorted(steps) and steps[0] == 0 and steps[-1] == 1
 
 
-def test_a_processor_works_in_order_and_takes_answers_first_where_it_is_so_made() -> None:
-    def played(first: bool) -> tuple[list[str], float]:
+def test_processor_works_in_order_or_takes_answers_first() -> None:
+    def run_processor(first: bool) -> tuple[list[str], float]:
         done: list[str] = []
         loop = VirtualLoop()
 
@@ -291,15 +307,15 @@
             took.append(loop.time() - began)
 
         took: list[float] = []
-        virtual(run, loop)
+        run_virtual(run, loop)
         return done, took[0]
 
-    assert played(False)[0] == ["a", "b", "c", "answer"]
-    assert played(True)[0] == ["a", "answer", "b", "c"]
-    assert played(True)[1] == pytest.approx(0.35, abs=0.02), "and what was dropped costs nothing"
+    assert run_processor(False)[0] == ["a", "b", "c", "answer"]
+    assert run_processor(True)[0] == ["a", "answer", "b", "c"]
+    assert run_processor(True)[1] == pytest.approx(0.35, abs=0.02), "dropped work must cost no time"
 
 
-def test_an_ageing_processor_gets_slower_until_a_new_one_takes_its_place() -> None:
+def test_ageing_processor_halves_its_capacity_per_doubling_time() -> None:
     now = [0.0]
     processor = Processor(Making(100.0), lambda: now[0], lambda after, what: None, None)
     processor.ageing = (0.0, 5.0)
@@ -309,7 +325,7 @@
 # -- scenarios -------------------------------------------------------------------------------------------
 
 
-def test_draws_depend_on_seed_and_name_alone() -> None:
+def test_draws_depend_only_on_seed_and_name() -> None:
     one, other = Draws(5), Draws(5)
     other.draw("something else", 0.0, 1.0)
     assert one.draw("a", 1.0, 100.0) == other.draw("a", 1.0, 100.0) != Draws(6).draw("a", 1.0, 100.0)
@@ -322,7 +338,7 @@
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "said"),
+    ("old", "new", "message"),
     [
         ("exchanges = [1]", "exchanges = [9]", "found 9; allowed: 1 to 3"),
         ("exchanges = [1]", "district = 7", "found 7; allowed: -1 to 2"),
@@ -335,17 +351,15 @@
         ('draw("rate", 8, 12)', 'draw("rate", 12, 8)', "allowed: the lower end first"),
     ],
 )
-def test_what_is_wrong_with_a_scenario_is_said_with_its_line(
-    short: Path, old: str, new: str, said: str
-) -> None:
+def test_invalid_scenario_is_reported_with_its_line(short: Path, old: str, new: str, message: str) -> None:
     assert old in SHORT
     short.write_text(SHORT.replace(old, new))
     with pytest.raises(ConfigError, match=r"short\.star:\d+: ") as caught:
         load(short, 1)
-    assert said in str(caught.value)
+    assert message in str(caught.value)
 
 
-def test_draws_and_troubles_that_do_not_exist_are_refused(short: Path) -> None:
+def test_unknown_draws_and_troubles_are_rejected(short: Path) -> None:
     with pytest.raises(ConfigError, match="allowed: factor, lasts, rate"):
         load(short, 1, {"speed": 2})
     with pytest.raises(ConfigError, match="allowed: 0 to 1"):
@@ -354,8 +368,8 @@
     assert [t.kind for t in scenario.troubles] == ["slow"] and scenario.troubles[0].factor == 3.0
 
 
-def test_the_library_loads_has_every_kind_of_trouble_and_draws_within_its_ranges() -> None:
-    paths = library(SCENARIOS)
+def test_all_scenarios_load_cover_every_trouble_kind_and_draw_within_ranges() -> None:
+    paths = list_scenarios(SCENARIOS)
     assert len(paths) >= 25
     kinds: set[str] = set()
     for path in paths:
@@ -364,51 +378,55 @@
             assert scenario.group == path.parent.name
             kinds |= {t.kind for t in scenario.troubles}
             for name, among in draws.ranges.items():
-                if not among.values:
-                    assert among.low <= draws.made[name] <= among.high
+                if not among.choices:
+                    assert among.low <= draws.drawn[name] <= among.high
     assert kinds == set(KINDS) == set(TROUBLES)
 
 
-def test_parts_of_a_district_are_drawn_once_and_stay_when_another_trouble_is_left_out() -> None:
+def test_exchanges_drawn_for_a_trouble_stay_when_another_trouble_is_left_out() -> None:
     path = SCENARIOS / "joined" / "month_end.star"
     whole, _ = load(path, 3)
-    less, _ = load(path, 3, without=[0])
-    struck = next(t for t in whole.troubles if t.kind == "restart")
-    assert struck.exchanges and all(n % 3 == 1 for n in struck.exchanges)
-    assert [t for t in whole.troubles if t.kind != "slow"] == less.troubles
+    reduced, _ = load(path, 3, without=[0])
+    restart = next(t for t in whole.troubles if t.kind == "restart")
+    assert restart.exchanges and all(n % 3 == 1 for n in restart.exchanges)
+    assert [t for t in whole.troubles if t.kind != "slow"] == reduced.troubles
 
 
-def beside(kinds: list[str], rng: Random) -> list[Trouble]:
-    """Troubles of these kinds that overlap, on the same exchanges as like as not."""
-    made = []
+def overlapping_troubles(kinds: list[str], rng: Random) -> list[Trouble]:
+    """Troubles of these kinds that overlap in time, often on the same exchanges."""
+    troubles = []
     for kind in kinds:
-        where = sorted(rng.sample([1, 2, 3], rng.randint(1, 3)))
+        exchanges = sorted(rng.sample([1, 2, 3], rng.randint(1, 3)))
         if kind == "server_pause":
-            where = []
-        made.append(
+            exchanges = []
+        troubles.append(
             Trouble(
                 kind=kind, at=int(rng.uniform(0.5, 4) * SECOND), lasts=int(rng.uniform(0.3, 3) * SECOND),
-                exchanges=where, share=rng.uniform(0.1, 0.7), gap=300 * MS, rise=100 * MS,
+                exchanges=exchanges, share=rng.uniform(0.1, 0.7), gap=300 * MS, rise=100 * MS,
                 factor=rng.uniform(2, 5), lie="drops_living" if kind == "registry_lie" else "",
             )
         )  # fmt: skip
-    return made
+    return troubles
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_every_trouble_composes_with_every_other(seed: int, short: Path) -> None:
-    """Seven kinds at once, all kinds over the seeds; afterwards nothing of them is left in the world."""
+def test_overlapping_troubles_leave_no_trace_in_the_world(seed: int, short: Path) -> None:
+    """Nine troubles at once, of all kinds over the seeds.
+
+    A trouble that restores a default value at its end, instead of removing its own condition, would undo
+    another one that still lasts or leave its own value behind.
+    """
     rng = Random(seed)
     kinds = sorted(set(KINDS) - {"half_open"})
     chosen = [kinds[(seed * 7 + i) % len(kinds)] for i in range(7)] + rng.sample(kinds, 2)
     plan, _ = load(short, seed)
     fleet = replace(plan.fleet, list_from="registry" if "registry_lie" in chosen else "register")
-    plan = replace(plan, fleet=fleet, troubles=beside(chosen, rng), length=8 * SECOND)
+    plan = replace(plan, fleet=fleet, troubles=overlapping_troubles(chosen, rng), length=8 * SECOND)
     result, _ = days.play(plan, seed, lambda *_: None, (0, 1) if seed % 2 else (0,), allowed=4_000_000)
     assert result.good, (chosen, result.as_json())
     world = result.world
     assert world is not None
-    assert all(not held for held in world.conditions.held.values())
+    assert all(not active for active in world.conditions.active.values())
     for exchange in world.exchanges.values():
         assert exchange.processor.slow == 1.0 and not exchange.processor.hung
         assert exchange.faults.lose_answers == 0.0 and not exchange.faults.mute and not exchange.faults.hot
@@ -417,24 +435,24 @@
     assert all(share == 1.0 for share in world.kept.values())
 
 
-def test_two_shifts_of_traffic_end_each_by_itself(short: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_overlapping_traffic_shifts_end_independently(short: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     plan, _ = load(short, 1)
     shift = Trouble(kind="shift", at=1 * SECOND, lasts=4 * SECOND, gap=SECOND, factor=2.0)
     plan = replace(plan, troubles=[shift, replace(shift, at=2 * SECOND, lasts=1 * SECOND)])
-    seen: list[tuple[float, int]] = []
+    samples: list[tuple[float, int]] = []
 
-    class Watched(days.Player):
+    class SamplingPlayer(days.Player):
         def _sample(self) -> None:
             super()._sample()
-            seen.append((self.loop.time() - self.world.began, len(self.shifts)))
+            samples.append((self.loop.time() - self.world.began, len(self.shifts)))
 
-    monkeypatch.setattr(days, "Player", Watched)
+    monkeypatch.setattr(days, "Player", SamplingPlayer)
     assert days.play(plan, 1, lambda *_: None)[0].good
-    assert [count for at, count in seen if round(at, 3) in (0.0, 1.5, 2.5, 3.5, 5.5)] == [0, 1, 2, 1, 0]
+    assert [count for at, count in samples if round(at, 3) in (0.0, 1.5, 2.5, 3.5, 5.5)] == [0, 1, 2, 1, 0]
 
 
-def test_one_call_server_paused_excuses_no_other(short: Path) -> None:
-    """Whose host is frozen owes its answers once it runs; the others owe theirs in time, and give them."""
+def test_pause_of_one_call_server_does_not_excuse_the_others(short: Path) -> None:
+    """Answers of a frozen call server are due once it runs again; those of the others remain due in time."""
     plan, _ = load(short, 2)
     pause = Trouble(kind="server_pause", at=2 * SECOND, lasts=4 * SECOND, exchanges=[1])
     plan = replace(plan, troubles=[pause], length=10 * SECOND)
@@ -444,24 +462,26 @@
     began = result.world.began
     (stall,) = result.world.stalls
     assert stall.node == "server-1"
-    inside = [r for r in capture if r.way in ("in", "out") and began + 2.01 < r.time / SECOND < began + 5.99]
-    assert {r.node for r in inside} == {"server-0", "server-2"}
+    during_pause = [
+        r for r in capture if r.way in ("in", "out") and began + 2.01 < r.time / SECOND < began + 5.99
+    ]
+    assert {r.node for r in during_pause} == {"server-0", "server-2"}
 
 
-def test_a_call_server_that_dies_comes_back_under_another_name_and_serves(short: Path) -> None:
+def test_killed_call_server_restarts_under_another_name_and_serves(short: Path) -> None:
     plan, _ = load(short, 2)
-    death = Trouble(kind="restart", at=2 * SECOND, lasts=1 * SECOND, exchanges=[1])
-    plan = replace(plan, troubles=[death], length=10 * SECOND)
+    restart = Trouble(kind="restart", at=2 * SECOND, lasts=1 * SECOND, exchanges=[1])
+    plan = replace(plan, troubles=[restart], length=10 * SECOND)
     result, capture = days.play(plan, 2, lambda *_: None, (0, 1))
     assert result.good, result.as_json()
     assert [r.node for r in capture if r.way == "killed"] == ["server-1"]
     assert sum(r.node == "server-1.1" and "SIP/2.0 200" in r.data for r in capture) > 10
 
 
-def test_the_same_seed_is_the_same_to_the_byte_whatever_the_hash_seed(short: Path) -> None:
-    found = []
+def test_result_of_a_seed_does_not_depend_on_the_hash_seed(short: Path) -> None:
+    results = []
     for hash_seed in ("0", "1", "4242"):
-        done = subprocess.run(
+        process = subprocess.run(
             [sys.executable, "-m", "eiderstep", "rehearse", str(short), "--seed=7", "--servers=0", "--json"],
             env=os.environ | {"PYTHONHASHSEED": hash_seed},
             cwd=ROOT,
@@ -469,27 +489,27 @@
             text=True,
             check=True,
         )
-        shown = json.loads(done.stdout)
-        del shown["cpu"]
-        found.append(shown)
-    assert found[0] == found[1] == found[2]
+        result = json.loads(process.stdout)
+        del result["cpu"]
+        results.append(result)
+    assert results[0] == results[1] == results[2]
     again = lab.rehearse(short, 7, servers=0).as_json()
-    assert again["digest"] == found[0]["digest"] and again["service"] == found[0]["service"]
+    assert again["digest"] == results[0]["digest"] and again["service"] == results[0]["service"]
     assert lab.rehearse(short, 8, servers=0).digest != again["digest"]
 
 
-def test_expectations_that_fail_are_named(short: Path) -> None:
+def test_failed_expectations_are_listed(short: Path) -> None:
     short.write_text(SHORT.replace("least = 0.1", "least = 0.1, most = 0.2"))
-    found = lab.rehearse(short, 1)
-    assert found.result.good and not found.good
-    ((expect, value),) = found.failed
+    rehearsal = lab.rehearse(short, 1)
+    assert rehearsal.result.good and not rehearsal.good
+    ((expect, value),) = rehearsal.failed
     assert expect.what == "service" and value > 0.2
 
 
 @settings(max_examples=30, deadline=None)
 @given(st.integers(0, 10_000))
-def test_any_seed_of_any_scenario_is_a_day_that_can_be_played(seed: int) -> None:
-    path = Random(seed).choice(library(SCENARIOS))
+def test_any_seed_of_any_scenario_loads_with_exchanges_for_its_troubles(seed: int) -> None:
+    path = Random(seed).choice(list_scenarios(SCENARIOS))
     scenario, _ = load(path, seed)
     assert isinstance(scenario, Scenario)
     assert all(t.exchanges or t.kind not in ("slow", "hang", "restart", "deploy") for t in scenario.troubles)
--- a/tests/test_experiment.py
+++ b/tests/test_experiment.py
@@ -1,4 +1,4 @@
-"""Experiments: the bound, the store, resuming, comparing, hunting; and a call's path."""
+"""Tests of experiments (upper bound, store, resuming, comparing, hunting) and of traces of calls."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 from eiderstep.lab.emulator import rehearse as lab
 from eiderstep.lab.emulator.samples import Sample
 from eiderstep.lab.emulator.scenario import Range, load
-from eiderstep.lab.experiment.compare import compare, difference, ranks
+from eiderstep.lab.experiment.compare import compare, difference, rank_correlations
 from eiderstep.lab.experiment.hunt import BROKEN, Hunt, badness
 from eiderstep.lab.experiment.report import page
 from eiderstep.lab.experiment.runner import Grid, run, run_job
@@ -43,111 +43,113 @@
     return root
 
 
-# -- the bound -------------------------------------------------------------------------------------------
+# -- upper bound -----------------------------------------------------------------------------------------
 
 
-def plan(**changes: Any) -> lp.Plan:
-    usual: dict[str, Any] = {
-        "length": 40.0, "kinds": [lp.Kind(1.0, 1, 1e9, 0.0)],
+def day_parameters(**changes: Any) -> lp.DayParameters:
+    defaults: dict[str, Any] = {
+        "length": 40.0, "classes": [lp.ClassParameters(1.0, 1, 1e9, 0.0)],
         "circuits": {(0, 1): 1000, (0, 2): 0, (1, 2): 0},
         "refuse_past": 1e-9, "weights": (1.0, 0.0, 0.0), "window": 10.0,
     }  # fmt: skip
-    return lp.Plan(**(usual | changes))
+    return lp.DayParameters(**(defaults | changes))
 
 
 def samples(capacity: float = 1000.0, **changes: Any) -> list[Sample]:
-    made = {"keep": {}, "cut": frozenset()} | changes
-    return [Sample(t / 2, (capacity, capacity, capacity), **made) for t in range(90)]
+    fields = {"circuit_shares": {}, "cut_off": frozenset()} | changes
+    return [Sample(t / 2, (capacity, capacity, capacity), **fields) for t in range(90)]
 
 
-ASKED = [lp.Asked(0.2 * n, 0, 0, 1) for n in range(200)]  # five a second for 40 s
+OFFERED = [lp.OfferedCall(0.2 * n, 0, 0, 1) for n in range(200)]  # five a second for 40 s
 
 
-def test_the_bound_is_what_can_be_worked_out_by_hand() -> None:
-    assert lp.bound(plan(), ASKED, samples()) == pytest.approx(1.0, abs=1e-6)
-    # Calls that never end: the group takes a hundred of two hundred.
-    full = lp.bound(plan(circuits={(0, 1): 100}), ASKED, samples())
+def test_bound_matches_hand_calculation() -> None:
+    assert lp.upper_bound(day_parameters(), OFFERED, samples()) == pytest.approx(1.0, abs=1e-6)
+    # Calls that never end: a group of 100 circuits carries 100 of 200 calls.
+    full = lp.upper_bound(day_parameters(circuits={(0, 1): 100}), OFFERED, samples())
     assert full == pytest.approx(0.5, abs=1e-3)
-    # A processor of two a second, five asked for; what comes at the end is worked on for two windows more.
-    slow = lp.bound(plan(), ASKED, samples(2.0))
+    # A processor of 2 set-ups a second with 5 offered; two more steps of 2 s follow the end of the day.
+    slow = lp.upper_bound(day_parameters(), OFFERED, samples(2.0))
     assert slow == pytest.approx(0.42, abs=1e-3)
-    # Circuits lost: a quarter stays.
-    assert lp.bound(plan(circuits={(0, 1): 100}), ASKED, samples(keep={(0, 1): 0.25})) == pytest.approx(
-        0.125, abs=1e-3
+    # A quarter of the circuits stays in service.
+    assert lp.upper_bound(
+        day_parameters(circuits={(0, 1): 100}), OFFERED, samples(circuit_shares={(0, 1): 0.25})
+    ) == pytest.approx(0.125, abs=1e-3)
+    assert lp.upper_bound(day_parameters(), OFFERED, samples(cut_off=frozenset({1}))) == pytest.approx(
+        0.0, abs=1e-6
     )
-    assert lp.bound(plan(), ASKED, samples(cut=frozenset({1}))) == pytest.approx(0.0, abs=1e-6)
 
 
-def test_the_bound_goes_over_tandems_and_counts_late_calls_and_the_worst_window() -> None:
-    around = {(0, 1): 50, (0, 2): 100, (1, 2): 100}
-    assert lp.bound(plan(circuits=around), ASKED, samples()) == pytest.approx(0.75, abs=1e-3)
-    dead = [replace(s, capacity=(1e3, 0.0 if s.at < 20 else 1e3, 1e3)) for s in samples()]
-    kinds = [lp.Kind(1.0, 1, 1e9, 0.25)]
-    # What is asked in the first half can only be served late, but for the last window before 20 s.
-    late = lp.bound(plan(kinds=kinds), ASKED, dead)
+def test_bound_includes_tandems_late_calls_and_the_worst_window() -> None:
+    with_tandem = {(0, 1): 50, (0, 2): 100, (1, 2): 100}
+    assert lp.upper_bound(day_parameters(circuits=with_tandem), OFFERED, samples()) == pytest.approx(
+        0.75, abs=1e-3
+    )
+    outage = [replace(s, capacity=(1e3, 0.0 if s.at < 20 else 1e3, 1e3)) for s in samples()]
+    classes = [lp.ClassParameters(1.0, 1, 1e9, 0.25)]
+    # The first half of the calls can only be served late, except those of the last step before 20 s.
+    late = lp.upper_bound(day_parameters(classes=classes), OFFERED, outage)
     assert late == pytest.approx((110 + 90 * 0.25) / 200, abs=1e-6)
-    worst = lp.bound(plan(weights=(0.0, 1.0, 0.0)), ASKED, dead)
+    worst = lp.upper_bound(day_parameters(weights=(0.0, 1.0, 0.0)), OFFERED, outage)
     assert worst == pytest.approx(0.0, abs=1e-6)
 
 
-def test_no_day_of_the_module_or_a_baseline_is_over_its_bound(folder: Path) -> None:
+def test_service_of_module_and_baselines_does_not_exceed_the_bound(folder: Path) -> None:
     from eiderstep.lab.baselines import MINDS
 
-    found: dict[str, float] = {}
+    services: dict[str, float] = {}
     for mind in MINDS:
         scenario, draws = load(folder / "traffic" / "short.star", 1, {"rate": 12, "factor": 40.0})
-        one, _ = lab.play(scenario, draws, mind=MINDS[mind])
-        assert one.bound is not None and one.measures["service"] <= one.bound + 0.02
-        found[mind] = one.measures["service"]
-    assert len(set(found.values())) == 3, "three deciders, three days"
+        rehearsal, _ = lab.play(scenario, draws, mind=MINDS[mind])
+        assert rehearsal.bound is not None and rehearsal.measures["service"] <= rehearsal.bound + 0.02
+        services[mind] = rehearsal.measures["service"]
+    assert len(set(services.values())) == 3, "each decision module must give a different service"
 
 
-# -- the store and the runner ----------------------------------------------------------------------------
+# -- store and runner ------------------------------------------------------------------------------------
 
 
-def test_an_experiment_stopped_half_way_goes_on_and_ends_as_one_that_was_not(
-    tmp_path: Path, folder: Path
-) -> None:
+def test_resumed_experiment_has_the_results_of_an_uninterrupted_one(tmp_path: Path, folder: Path) -> None:
     grid = Grid(str(folder), seeds=(1, 2, 3), settings=[{}, {"factor": 40.0}])
-    whole, parts = Results(tmp_path / "whole.db"), Results(tmp_path / "parts.db")
-    assert run(whole, "x", grid, 3, WHEN) == 6
-    assert run(parts, "x", grid, 1, WHEN, most=2) == 2
-    parts.close()
-    parts = Results(tmp_path / "parts.db")
-    heard: list[int] = []
-    assert run(parts, "x", grid, 2, "later", lambda _, done, of: heard.append(done)) == 4
-    assert heard == [3, 4, 5, 6]
-    assert run(parts, "x", grid, 2, "later") == 0, "nothing is left to do"
-
-    def told(results: Results) -> list[Any]:
+    uninterrupted, resumed = Results(tmp_path / "whole.db"), Results(tmp_path / "parts.db")
+    assert run(uninterrupted, "x", grid, 3, WHEN) == 6
+    assert run(resumed, "x", grid, 1, WHEN, max_plays=2) == 2
+    resumed.close()
+    resumed = Results(tmp_path / "parts.db")
+    done_counts: list[int] = []
+    assert run(resumed, "x", grid, 2, "later", lambda _, done, of: done_counts.append(done)) == 4
+    assert done_counts == [3, 4, 5, 6]
+    assert run(resumed, "x", grid, 2, "later") == 0, "all jobs must be completed already"
+
+    def outcomes(results: Results) -> list[Any]:
         return [(r.job, r.result["digest"], r.service) for r in results.runs("x")]
 
-    assert told(whole) == told(parts) and len(told(whole)) == 6
+    assert outcomes(uninterrupted) == outcomes(resumed) and len(outcomes(uninterrupted)) == 6
     with pytest.raises(StoreError, match="another plan"):
-        run(parts, "x", replace(grid, seeds=(1,)), 1, WHEN)
+        run(resumed, "x", replace(grid, seeds=(1,)), 1, WHEN)
     with pytest.raises(StoreError, match="allowed: x"):
-        list(parts.runs("y"))
-    text = page("x", list(parts.runs("x")))
+        list(resumed.runs("y"))
+    text = page("x", list(resumed.runs("x")))
     assert "<svg" in text and "traffic/short" in text
-    assert not re.search(r"(src|href)=.http|@import|url\(http", text), "it stands without a network"
+    assert not re.search(r"(src|href)=.http|@import|url\(http", text), (
+        "the page must not load anything from the network"
+    )
     assert "factor=40.0, beside as scripted" in text
 
 
-def test_an_experiment_killed_in_the_middle_goes_on_with_what_is_missing(
-    tmp_path: Path, folder: Path
-) -> None:
+def test_experiment_killed_in_progress_resumes_with_missing_jobs(tmp_path: Path, folder: Path) -> None:
     store = tmp_path / "killed.db"
     command = [sys.executable, "-m", "eiderstep", "experiment", "run", "k", "--folder", str(folder)]
     command += ["--seeds", "1-6", "--processes", "1", "--store", str(store)]
     child = subprocess.Popen(command, stdout=subprocess.PIPE, text=True, start_new_session=True)
     assert child.stdout is not None
-    first = [child.stdout.readline() for _ in range(2)]
-    os.killpg(child.pid, signal.SIGKILL)  # this one and its player, and nobody else
+    first_lines = [child.stdout.readline() for _ in range(2)]
+    os.killpg(child.pid, signal.SIGKILL)  # only this process and its worker
     child.wait()
     child.stdout.close()
     results = Results(store)
     before = {r.job.seed: r.result["digest"] for r in results.runs("k")}
-    assert len(first) == 2 and 2 <= len(before) < 6
+    assert len(first_lines) == 2 and 2 <= len(before) < 6
     assert run(results, "k", Grid(str(folder), seeds=(1, 2, 3, 4, 5, 6)), 2, "later") == 6 - len(before)
     after = {r.job.seed: r.result["digest"] for r in results.runs("k")}
     assert len(after) == 6 and all(after[seed] == digest for seed, digest in before.items())
@@ -155,7 +157,7 @@
     assert run_job(str(folder), job, code_version()).result["digest"] == after[1]
 
 
-def test_a_store_that_is_damaged_or_of_another_format_is_refused(tmp_path: Path) -> None:
+def test_damaged_store_or_unknown_format_is_rejected(tmp_path: Path) -> None:
     path = tmp_path / "bad.db"
     path.write_bytes(b"this is no database" * 100)
     with pytest.raises(StoreError, match="bad.db"):
@@ -168,25 +170,25 @@
         Results(other)
 
 
-def test_what_cannot_be_played_is_a_result_and_ends_nothing(folder: Path) -> None:
+def test_job_that_fails_or_does_not_end_is_a_result_of_its_run(folder: Path) -> None:
     job = next(Grid(str(folder)).jobs())
     code = code_version()
     assert run_job(str(folder), replace(job, scenario="traffic/none"), code).status == "failed"
-    wrong = run_job(str(folder), replace(job, fixed={"speed": 1}), code)
-    assert wrong.status == "failed" and "allowed: factor, lasts, rate" in wrong.result["why"]
-    endless = run_job(str(folder), job, code, allowed=500)
+    unknown_draw = run_job(str(folder), replace(job, fixed={"speed": 1}), code)
+    assert unknown_draw.status == "failed" and "allowed: factor, lasts, rate" in unknown_draw.result["why"]
+    endless = run_job(str(folder), job, code, max_callbacks=500)
     assert endless.status == "endless" and badness(endless)[0] > BROKEN
     with pytest.raises(ValueError, match="allowed: traffic/short"):
         list(Grid(str(folder), ["nothing"]).jobs())
     scenario, draws = load(folder / "traffic" / "short.star", 1)
     with pytest.raises(Endless):
-        lab.play(scenario, draws, allowed=500)
+        lab.play(scenario, draws, max_callbacks=500)
 
 
 # -- comparing and hunting -------------------------------------------------------------------------------
 
 
-def made(service: float, seed: int = 1, **changes: Any) -> Run:
+def completed_run(service: float, seed: int = 1, **changes: Any) -> Run:
     result = {
         "service": {"service": service}, "bound": 1.0, "breaches": [], "errors": [], "unanswered": 0,
         "left_calls": 0, "left_circuits": 0, "good": True, "draws": {}, "failed": [],
@@ -194,19 +196,19 @@
     return Run(Job("traffic/short", "t", seed), "code", "done", result)
 
 
-def test_paired_differences_see_what_the_spread_over_seeds_would_hide() -> None:
-    spread = [0.2 + 0.05 * n for n in range(12)]
-    one = [made(s, n) for n, s in enumerate(spread)]
-    better = [made(s + 0.02 + 0.001 * (n % 3), n) for n, s in enumerate(spread)]
-    *_, overall = compare(one, better)
+def test_paired_comparison_detects_difference_smaller_than_spread_over_seeds() -> None:
+    services = [0.2 + 0.05 * n for n in range(12)]
+    base = [completed_run(service, n) for n, service in enumerate(services)]
+    better = [completed_run(service + 0.02 + 0.001 * (n % 3), n) for n, service in enumerate(services)]
+    *_, overall = compare(base, better)
     assert overall.verdict == "better" and 0.02 <= overall.low <= overall.mean <= overall.high <= 0.022
-    assert overall.t is not None and overall.t[0] > 0.02
-    assert compare(one, one)[-1].verdict == "no difference seen"
-    assert compare(better, one)[-1].verdict == "worse"
-    assert difference("x", [(one[0], better[0])]).verdict == "one pair tells nothing"
+    assert overall.student_interval is not None and overall.student_interval[0] > 0.02
+    assert compare(base, base)[-1].verdict == "no difference seen"
+    assert compare(better, base)[-1].verdict == "worse"
+    assert difference("x", [(base[0], better[0])]).verdict == "one pair tells nothing"
     with pytest.raises(ValueError, match="both sides"):
-        compare(one, [made(0.5, 99)])
-    assert ranks([1, 2, 3, 4], [10, 20, 30, 40]) == (1.0, 1.0)
+        compare(base, [completed_run(0.5, 99)])
+    assert rank_correlations([1, 2, 3, 4], [10, 20, 30, 40]) == (1.0, 1.0)
 
 
 @pytest.mark.parametrize(
@@ -216,41 +218,43 @@
         ({"left_circuits": 2}, "left circuits"), ({"errors": ["x"]}, "errors"),
     ],
 )  # fmt: skip
-def test_anything_broken_is_worse_than_any_gap(changes: dict[str, Any], why: str) -> None:
-    bad, said = badness(made(0.9, **changes))
-    assert bad >= BROKEN and said == why and badness(made(0.0))[0] == 1.0
+def test_broken_rule_or_leftover_is_worse_than_any_gap(changes: dict[str, Any], why: str) -> None:
+    bad, reason = badness(completed_run(0.9, **changes))
+    assert bad >= BROKEN and reason == why and badness(completed_run(0.0))[0] == 1.0
 
 
 @pytest.mark.parametrize(
     "what", ["unanswered", "left_calls", "left_circuits", "breaches", "errors", "failed"]
 )
-def test_a_report_tells_whatever_went_wrong(what: str) -> None:
+def test_report_page_shows_every_failure(what: str) -> None:
     measures = {"service": 0.5, "set_up_p99_ms": 9.0, "tries_per_call": 1.0, "recovery_s": 0.0}
     value: Any = 3
     if what in ("breaches", "errors"):
         value = ["it broke here"]
     if what == "failed":
         value = [{"what": "it broke here", "found": 0.1}]
-    run = made(0.5, measures=measures, good=False, **{what: value})
-    told = page("x", [run, Run(run.job, "code", "endless", {"why": "for ever"})])
-    assert (f"3 {what.replace('_', ' ')}" if value == 3 else "it broke here") in told and "for ever" in told
+    run = completed_run(0.5, measures=measures, good=False, **{what: value})
+    text = page("x", [run, Run(run.job, "code", "endless", {"why": "for ever"})])
+    assert (f"3 {what.replace('_', ' ')}" if value == 3 else "it broke here") in text and "for ever" in text
 
 
-def test_a_hunt_finds_the_worst_corner_and_cuts_it_down() -> None:
-    """Service falls with `depth` where trouble 1 is in force; trouble 0 and `noise` do not matter."""
-    ranges = {"depth": Range(0.0, 10.0), "noise": Range(0.0, 1.0), "shape": Range(values=("a", "b"))}
-    ranges["where"] = Range(values=("lots", 2, 5))
+def test_hunt_finds_the_worst_draws_and_shrinks_them() -> None:
+    """Service falls with `depth` while trouble 1 is included; trouble 0 and `noise` have no effect."""
+    ranges = {"depth": Range(0.0, 10.0), "noise": Range(0.0, 1.0), "shape": Range(choices=("a", "b"))}
+    ranges["where"] = Range(choices=("lots", 2, 5))
 
     def play(jobs: Sequence[Job]) -> list[Run]:
         runs = []
         for job in jobs:
             drawn: dict[str, Any] = {"depth": (job.seed * 37 % 100) / 10, "noise": 0.9, "shape": "a"}
             drawn["where"] = [1, 2]
-            assert "where" not in job.fixed, "lots follow from seed and number"
+            assert "where" not in job.fixed, (
+                "lots must not be fixed: they follow from the seed and their number"
+            )
             drawn |= job.fixed
-            shape = 0.2 if drawn["shape"] == "b" else 0.0
-            lost = 0.0 if 1 in job.without else drawn["depth"] / 20 + shape
-            runs.append(replace(made(0.95 - lost, job.seed, draws=drawn), job=job))
+            shape_loss = 0.2 if drawn["shape"] == "b" else 0.0
+            lost = 0.0 if 1 in job.without else drawn["depth"] / 20 + shape_loss
+            runs.append(replace(completed_run(0.95 - lost, job.seed, draws=drawn), job=job))
         return runs
 
     hunt = Hunt(play, ranges, 2, 1)
@@ -261,21 +265,25 @@
     assert found.badness >= 0.8 * worst.badness and found.played > 60
 
 
-def test_a_hunt_finds_a_planted_breach_and_what_it_needs(
+def test_hunt_finds_planted_breach_and_leaves_out_unrelated_trouble(
     folder: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A server that forgets calls whose attempt has failed: seen only where an exchange is slow enough."""
+    """The planted module never refuses or abandons a call after a failed attempt, which breaks rule 1.
+
+    Such a caller gets no final response.  Attempts fail only if an exchange is slow enough; the other
+    trouble, a delay, plays no part.
+    """
     from eiderstep import decide
     from eiderstep import interface as io
 
     handle, failed = decide.Controller.handle, set[str]()
 
-    def forgets(self: decide.Controller, now: int, events: list[io.Event]) -> list[io.Action]:
+    def handle_without_answers(self: decide.Controller, now: int, events: list[io.Event]) -> list[io.Action]:
         actions = handle(self, now, events)
         failed.update(e.call for e in events if isinstance(e, io.AttemptEnded))
         return [a for a in actions if not (isinstance(a, io.Refuse | io.Abandon) and a.call in failed)]
 
-    monkeypatch.setattr(decide.Controller, "handle", forgets)
+    monkeypatch.setattr(decide.Controller, "handle", handle_without_answers)
     path = folder / "traffic" / "short.star"
     text = path.read_text().replace("length = s(4)", "length = s(6)")
     path.write_text(text.replace("fleet(count = 4", "fleet(refuse_past = ms(300), count = 4"))
@@ -283,42 +291,42 @@
     hunt = Hunt(lambda jobs: [run_job(str(folder), job, "planted") for job in jobs], draws.ranges, 2, 1)
     found = hunt.shrink(hunt.search(next(Grid(str(folder)).jobs()), 6, 2))
     assert found.badness >= BROKEN and found.why == "rule 1"
-    assert found.job.without == (1,), "the long way to exchange 2 has nothing to do with it"
+    assert found.job.without == (1,), "the delay to exchange 2 must be left out"
 
 
-# -- a call's path ---------------------------------------------------------------------------------------
+# -- traces and commands ---------------------------------------------------------------------------------
 
 
-def test_a_calls_path_through_two_servers_as_a_ladder_and_as_spans(tmp_path: Path, folder: Path) -> None:
+def test_path_of_a_call_through_two_servers_as_ladder_and_spans(tmp_path: Path, folder: Path) -> None:
     scenario, draws = load(folder / "traffic" / "short.star", 1)
     _, capture = lab.play(scenario, draws, servers=0)
-    found = traces.paths(capture)
-    assert len(found) > 20
-    both = next(
+    paths = traces.paths(capture)
+    assert len(paths) > 20
+    path = next(
         p
-        for p in found.values()
+        for p in paths.values()
         if {s.node for s in p.steps} >= {"server-0", "server-1"}
         and any(s.message.status == 200 for s in p.steps)
     )
-    drawn = traces.ladder(both)
-    assert "INVITE" in drawn and "200 INVITE" in drawn and "server-1" in drawn and "lines" in drawn
-    arrows = drawn.splitlines()[2:]
-    assert len(arrows) < len(both.steps), "what passes between two servers is drawn once"
+    ladder = traces.ladder(path)
+    assert "INVITE" in ladder and "200 INVITE" in ladder and "server-1" in ladder and "lines" in ladder
+    arrows = ladder.splitlines()[2:]
+    assert len(arrows) < len(path.steps), "a message between two servers must be drawn only once"
     assert all(">" in row or "<" in row or "itself" in row for row in arrows)
     out = tmp_path / "spans.jsonl"
-    count = traces.write_spans(found.values(), out)
+    count = traces.write_spans(paths.values(), out)
     spans = [json.loads(line) for line in out.read_text().splitlines()]
     assert len(spans) == count
-    mine = {s["context"]["span_id"]: s for s in spans if s["attributes"]["call.session"] == both.session}
-    assert len({s["context"]["trace_id"] for s in mine.values()}) == 1
-    roots = [s for s in mine.values() if s["parent_id"] is None]
-    assert len(roots) == 1 and all(s["parent_id"] in mine for s in mine.values() if s["parent_id"])
+    by_id = {s["context"]["span_id"]: s for s in spans if s["attributes"]["call.session"] == path.session}
+    assert len({s["context"]["trace_id"] for s in by_id.values()}) == 1
+    roots = [s for s in by_id.values() if s["parent_id"] is None]
+    assert len(roots) == 1 and all(s["parent_id"] in by_id for s in by_id.values() if s["parent_id"])
     with pytest.raises(ValueError, match="no call"):
-        traces.chosen(found, "zzzz")
-    assert traces.chosen(found, both.session[:12]) is both
+        traces.chosen(paths, "zzzz")
+    assert traces.chosen(paths, path.session[:12]) is path
 
 
-def test_the_commands_work_together(tmp_path: Path, folder: Path) -> None:
+def test_experiment_rehearse_and_trace_commands(tmp_path: Path, folder: Path) -> None:
     cli = CliRunner()
     store, kept = ["--store", str(tmp_path / "x.db")], tmp_path / "kept"
     args = ["experiment", "run", "x", "--seeds", "1-2", "--minds", "module,direct", "--processes", "2"]
@@ -337,8 +345,8 @@
     done = cli.invoke(app, ["trace", call, "--capture", str(kept / "capture.jsonl")])
     assert done.exit_code == 0 and f"call {call}" in done.output
     assert cli.invoke(app, ["trace", "zzzz", "--capture", str(kept / "capture.jsonl")]).exit_code == 2
-    for wrong, said in ((["--set", "factor"], "NAME=VALUE"), (["--mind", "none"], "direct, random")):
-        done = cli.invoke(app, ["rehearse", path, *wrong])
-        assert done.exit_code == 2 and said in done.output.replace("\n", "").replace("│", "").replace(
+    for invalid, message in ((["--set", "factor"], "NAME=VALUE"), (["--mind", "none"], "direct, random")):
+        done = cli.invoke(app, ["rehearse", path, *invalid])
+        assert done.exit_code == 2 and message in done.output.replace("\n", "").replace("│", "").replace(
             "  ", ""
         )
