--- a/eiderstep/lab/emulator/bound.py
+++ b/eiderstep/lab/emulator/bound.py
@@ -167,7 +167,7 @@
                 users.setdefault(resource, {}).setdefault(cls, []).extend(
                     series for route in used_routes for series in route
                 )
-        for (kind, what), by_class in users.items():
+        for (kind, element), by_class in users.items():
             held: dict[int, list[int]] = {}  # variables of the circuits in use, by class and step
             for cls, all_series in by_class.items():
                 hold, width = self.day.classes[cls].hold, self.day.classes[cls].width
@@ -184,10 +184,10 @@
                     self.equalities.add(terms, 0.0)
             for step in range(self.step_count):
                 if kind == "group":
-                    circuits = self.available_circuits(what, step)  # type: ignore[arg-type]
+                    circuits = self.available_circuits(element, step)  # type: ignore[arg-type]
                 else:
                     circuits = sum(
-                        self.available_circuits(pair, step) for pair in self.day.circuits if what in pair
+                        self.available_circuits(pair, step) for pair in self.day.circuits if element in pair
                     )
                 self.inequalities.add([(held[cls][step], 1.0) for cls in held], circuits)
 
--- a/eiderstep/lab/emulator/rehearse.py
+++ b/eiderstep/lab/emulator/rehearse.py
@@ -79,7 +79,7 @@
 
 
 def capture_digest(capture: Capture) -> str:
-    """SHA-256 of all messages at the call servers' sockets, in hexadecimal."""
+    """SHA-256 of all records of a capture, in hexadecimal."""
     checksum = hashlib.sha256()
     for record in capture:
         checksum.update(
--- a/eiderstep/lab/emulator/samples.py
+++ b/eiderstep/lab/emulator/samples.py
@@ -27,18 +27,18 @@
     cut_off: frozenset[int]
 
 
-def take(stage: Stage) -> Sample:
+def take(world: Stage) -> Sample:
     """Sample the true state, which no call server knows.  Draws no random numbers."""
-    now, capacities = stage.loop.time(), []
-    for number in range(stage.day.fleet.count):
-        exchange, control = stage.exchanges[number], stage.control.get(number)
+    now, capacities = world.loop.time(), []
+    for number in range(world.day.fleet.count):
+        exchange, control = world.exchanges[number], world.control.get(number)
         processor = exchange.processor
         if control is not None and control.processor is not None:
             processor = control.processor
-        frozen = any(host is not None and host.until > now for host in (stage.hosts.get(number), control))
-        dead = stage.conditions.is_active(number, "down") or exchange.dead
+        frozen = any(host is not None and host.until > now for host in (world.hosts.get(number), control))
+        dead = world.conditions.is_active(number, "down") or exchange.dead
         hung = exchange.processor.hung
         capacities.append(0.0 if dead or hung or frozen else processor.capacity())
-    cut_off = frozenset(n for n in stage.exchanges if stage.conditions.of(n, "cut"))
-    circuit_shares = {pair: share for pair, share in stage.kept.items() if share < 1}
-    return Sample(now - stage.began, tuple(capacities), circuit_shares, cut_off)
+    cut_off = frozenset(n for n in world.exchanges if world.conditions.of(n, "cut"))
+    circuit_shares = {pair: share for pair, share in world.kept.items() if share < 1}
+    return Sample(now - world.began, tuple(capacities), circuit_shares, cut_off)
--- a/eiderstep/lab/emulator/stage.py
+++ b/eiderstep/lab/emulator/stage.py
@@ -197,7 +197,7 @@
                 proxy.cut()
 
     async def restart_exchange(self, number: int) -> None:
-        """Start the process of an exchange again, cold, and its call server if that runs in the lab."""
+        """Start an exchange again, cold, at the same address, and its call server if that runs in the lab."""
         exchange = self.exchanges[number] = await self.start_exchange(number, self.loop.time())
         self.kept = {pair: share for pair, share in self.kept.items() if number not in pair}
         site = self.sites.get(number)
--- a/eiderstep/lab/experiment/hunt.py
+++ b/eiderstep/lab/experiment/hunt.py
@@ -1,9 +1,10 @@
 """Searches for the draws of a scenario with the worst result, and shrinks them to what causes it.
 
-A broken rule, a call without a final response or a circuit left busy is the worst; after that, the gap
-between service and its upper bound counts.  The search tries one seed after another, then changes single
-draws of the worst play found.  Shrinking leaves out troubles and moves draws toward their low end as long as
-the result stays about as bad.  This module has no I/O: the caller supplies `play`, which runs the jobs.
+The worst results are a run that does not end, then a broken rule, then an error, a call without a final
+response or a circuit left busy; after these, the gap between service and its upper bound counts.  The search
+tries one seed after another, then changes single draws of the worst play found.  Shrinking leaves out
+troubles and moves draws toward their low end as long as the result stays about as bad.  This module has no
+I/O: the caller supplies `play`, which runs the jobs.
 """
 
 from __future__ import annotations
@@ -19,7 +20,7 @@
 MIN_KEPT_GAP = 0.8  # share of the gap that must remain after a step of shrinking
 HALVING_STEPS = 3  # steps by which a draw is moved toward its low end, each half of the rest
 BROKEN = 10.0  # badness of a run that breaks a rule, more than any gap
-ENDLESS = 20.0  # badness of a run that does not end
+ENDLESS_BADNESS = 20.0  # badness of a run that does not end
 
 PlayJobs = Callable[[Sequence[Job]], Sequence[Run]]  # plays jobs, perhaps in parallel; results in their order
 
@@ -42,7 +43,7 @@
     if run.status == "failed":
         return 0.0, f"cannot be played: {run.result.get('why')}"
     if run.status == "endless":
-        return ENDLESS, f"never ends: {run.result.get('why')}"
+        return ENDLESS_BADNESS, f"never ends: {run.result.get('why')}"
     result = run.result
     if result["breaches"]:
         return BROKEN + 1, str(result["breaches"][0]).partition(" at ")[0]
@@ -86,7 +87,7 @@
     def __init__(self, play: PlayJobs, ranges: Mapping[str, Range], troubles: int, seed: int) -> None:
         self.play, self.ranges, self.trouble_count = play, ranges, troubles
         self.rng = Random(seed)
-        self.played = 0
+        self.play_count = 0
         self.history: list[str] = []
 
     def settable_draws(self, draws: Mapping[str, Any]) -> dict[str, Any]:
@@ -99,7 +100,7 @@
 
     def _evaluate(self, jobs: Sequence[Job]) -> list[HuntResult]:
         runs = self.play(jobs)
-        self.played += len(jobs)
+        self.play_count += len(jobs)
         results = []
         for job, run in zip(jobs, runs, strict=True):
             bad, why = badness(run)
@@ -110,9 +111,9 @@
         """The worst of `budget` plays, `batch_size` at a time: one half with new seeds, one half mutated."""
         worst: HuntResult | None = None
         seeds = iter(range(job.seed, job.seed + budget))
-        while self.played < budget:
-            count = min(batch_size, budget - self.played)
-            if worst is None or self.played < budget / 2:
+        while self.play_count < budget:
+            count = min(batch_size, budget - self.play_count)
+            if worst is None or self.play_count < budget / 2:
                 jobs = [replace(job, seed=next(seeds)) for _ in range(count)]
             else:
                 base = worst
@@ -123,9 +124,9 @@
             for result in self._evaluate(jobs):
                 if worst is None or result.badness > worst.badness:
                     worst = result
-                    self.history.append(f"play {self.played}: {result.why} {result.badness:.3f}")
+                    self.history.append(f"play {self.play_count}: {result.why} {result.badness:.3f}")
         assert worst is not None
-        worst.history, worst.played = self.history, self.played
+        worst.history, worst.played = self.history, self.play_count
         return worst
 
     def _is_as_bad(self, result: HuntResult, reference: HuntResult) -> bool:
@@ -151,7 +152,7 @@
         for name, among in sorted(self.ranges.items()):
             if not among.choices and name in smallest.draws:
                 smallest = self._shrink_draw(name, among, smallest, original)
-        smallest.history, smallest.played = self.history, self.played
+        smallest.history, smallest.played = self.history, self.play_count
         return smallest
 
     def _shrink_draw(self, name: str, among: Range, smallest: HuntResult, original: HuntResult) -> HuntResult:
--- a/eiderstep/lab/experiment/report.py
+++ b/eiderstep/lab/experiment/report.py
@@ -55,9 +55,7 @@
         if result[key]
     ]
     missed = [f"{f['what']} is {f['found']}" for f in result["failed"]]
-    return (
-        "; ".join([*result["breaches"][:3], *left, *result["errors"][:1], *missed]) or "nothing that is told"
-    )
+    return "; ".join([*result["breaches"][:3], *left, *result["errors"][:1], *missed]) or "no reason recorded"
 
 
 def table_rows(runs: Sequence[Run]) -> list[dict[str, Any]]:
