--- a/bench/node_beliefs.py
+++ b/bench/node_beliefs.py
@@ -1,9 +1,9 @@
-"""What a call server on the platform believes, beside what its sockets carry.
+"""Compares the internal state of a platform call server with the messages on its connections.
 
-python bench/node_beliefs.py run            in place of `python -m eiderstep.node`: serves, and writes every message
-                                            and its beliefs on standard error
-python bench/node_beliefs.py judge LOG      rebuilds calls out, standing and circuits from the messages alone, and
-                                            lists where the beliefs differ
+python bench/node_beliefs.py run            runs in place of `python -m eiderstep.node`; writes every message and
+                                            regular snapshots of its internal state to standard error
+python bench/node_beliefs.py judge LOG      rebuilds pending set-ups, standing calls and free circuits from the
+                                            messages alone, and prints how far the snapshots differ from them
 """  # noqa: E501
 
 from __future__ import annotations
@@ -15,141 +15,156 @@
 from pathlib import Path
 from typing import Any
 
-EVERY = 0.25  # seconds between two snapshots of beliefs
+SNAPSHOT_INTERVAL = 0.25  # seconds
 
 
 def run() -> int:
-    """Serve as `eiderstep.node` does, with eyes open."""
+    """Run `eiderstep.node` with its connections patched to log messages, and log snapshots of its state."""
     from eiderstep.isup import message as isup
     from eiderstep.isup.parser import Parser
     from eiderstep.node import __main__ as process
     from eiderstep.node import server, wires
 
-    def say(kind: str, now: int, what: Any) -> None:
-        sys.stderr.write(f"{kind} {now} {json.dumps(what)}\n")
+    def write_record(kind: str, now: int, content: Any) -> None:
+        sys.stderr.write(f"{kind} {now} {json.dumps(content)}\n")
         sys.stderr.flush()
 
-    def line(wire: wires.Wire, way: str, item: Any) -> None:
+    def record_message(wire: wires.Wire, direction: str, item: Any) -> None:
         now, peer = wire.node.clock(), wire.office or f"caller {wire.source}"
         if isinstance(item, isup.Message):
-            said = {
+            parameters = {
                 str(code): value.decode("latin-1")[:60]
                 for code, value in item.parameters.items()
                 if code != 195
             }
-            say("M", now, [way, wire.flow, peer, isup.NAMES[item.kind], item.call, said, item.cause])
+            write_record(
+                "M",
+                now,
+                [direction, wire.flow, peer, isup.NAMES[item.kind], item.call, parameters, item.cause],
+            )
         else:
-            say("M", now, [way, wire.flow, peer, item if isinstance(item, str) else item.why, "", {}, None])
+            write_record(
+                "M",
+                now,
+                [direction, wire.flow, peer, item if isinstance(item, str) else item.why, "", {}, None],
+            )
 
-    received, send, made, lost = (
+    original_data_received, original_send, original_connection_made, original_connection_lost = (
         wires.Wire.data_received, wires.Wire.send, wires.Wire.connection_made, wires.Wire.connection_lost
     )  # fmt: skip
     parsers: dict[int, Parser] = {}
 
     def data_received(self: wires.Wire, data: bytes) -> None:
         for item in parsers.setdefault(self.flow, Parser()).feed(data):
-            line(self, "in", item)
-        received(self, data)
+            record_message(self, "in", item)
+        original_data_received(self, data)
 
-    def sent(self: wires.Wire, data: bytes) -> None:
+    def send(self: wires.Wire, data: bytes) -> None:
         for item in Parser().feed(data):
-            line(self, "out", item)
-        send(self, data)
+            record_message(self, "out", item)
+        original_send(self, data)
 
     def connection_made(self: wires.Wire, transport: Any) -> None:
-        made(self, transport)
-        line(self, "up", "up")
+        original_connection_made(self, transport)
+        record_message(self, "up", "up")
 
     def connection_lost(self: wires.Wire, exc: Exception | None) -> None:
-        line(self, "down", f"down {exc}")
+        record_message(self, "down", f"down {exc}")
         parsers.pop(self.flow, None)
-        lost(self, exc)
+        original_connection_lost(self, exc)
 
-    def beat(self: server.Node) -> None:
-        calls, mind = self.calls, self.calls.mind
+    def write_snapshots(self: server.Node) -> None:
+        calls, decider = self.calls, self.calls.mind
         offices = {
-            o.name: [
-                mind.groups[o.number].free if o.number in mind.groups else None,
-                len(o.pending),
-                o.opened,
+            office.name: [
+                decider.groups[office.number].free if office.number in decider.groups else None,
+                len(office.pending),
+                office.opened,
             ]
-            for o in mind.offices.values()
+            for office in decider.offices.values()
         }  # type: ignore[attr-defined]
-        out = sum(len(a) for a in calls.on_link.values())
-        open_ = sum(len(a) for a in calls.asked.values())
+        set_ups_out = sum(len(attempts) for attempts in calls.on_link.values())
+        calls_open = sum(len(requests) for requests in calls.asked.values())
         standing = {office: len(names) for office, names in calls.standing.items()}
-        say("B", self.clock(), {"open": open_, "out": out, "standing": standing, "offices": offices})
-        self.loop.call_later(EVERY, beat, self)
+        write_record(
+            "B",
+            self.clock(),
+            {"open": calls_open, "out": set_ups_out, "standing": standing, "offices": offices},
+        )
+        self.loop.call_later(SNAPSHOT_INTERVAL, write_snapshots, self)
 
-    start = server.Node.start
+    original_start = server.Node.start
 
-    async def started(self: server.Node) -> None:
-        await start(self)
-        beat(self)
+    async def start(self: server.Node) -> None:
+        await original_start(self)
+        write_snapshots(self)
 
-    wires.Wire.data_received, wires.Wire.send = data_received, sent  # type: ignore[method-assign]
+    wires.Wire.data_received, wires.Wire.send = data_received, send  # type: ignore[method-assign]
     wires.Wire.connection_made, wires.Wire.connection_lost = connection_made, connection_lost  # type: ignore[method-assign]
-    server.Node.start = started  # type: ignore[method-assign]
+    server.Node.start = start  # type: ignore[method-assign]
     return process.main()
 
 
-def judge(path: Path) -> int:
-    """Compare; the figures of each snapshot with what the messages up to then say."""
-    open_: dict[str, int] = {}
-    out: dict[str, int] = {}
-    standing: dict[str, str] = {}
-    free: dict[str, int] = {}
-    gaps: dict[str, list[float]] = {"open": [], "out": [], "standing": [], "free": []}
-    kinds: Counter[str] = Counter()
-    for raw in path.read_text(errors="replace").splitlines():
-        found = re.match(r"(?:\[[0-9.]+\] )?([MB]) (\d+) (.*)", raw)
-        if not found:
+def compare(path: Path) -> int:
+    """Print how far the figures of each snapshot differ from those that the messages before it add up to."""
+    calls_open: dict[str, int] = {}  # flow of the caller by call
+    set_ups_out: dict[str, int] = {}  # flow of the office by call
+    standing: dict[str, str] = {}  # peer by call
+    free: dict[str, int] = {}  # last reported free circuits by office
+    differences: dict[str, list[float]] = {"open": [], "out": [], "standing": [], "free": []}
+    message_counts: Counter[str] = Counter()
+    for line in path.read_text(errors="replace").splitlines():
+        match = re.match(r"(?:\[[0-9.]+\] )?([MB]) (\d+) (.*)", line)
+        if not match:
             continue
-        what = json.loads(found[3])
-        if found[1] == "B":
-            gaps["open"].append(what["open"] - len(open_))
-            gaps["out"].append(what["out"] - len(out))
-            gaps["standing"].append(sum(what["standing"].values()) - len(standing))
-            gaps["free"] += [
+        content = json.loads(match[3])
+        if match[1] == "B":
+            differences["open"].append(content["open"] - len(calls_open))
+            differences["out"].append(content["out"] - len(set_ups_out))
+            differences["standing"].append(sum(content["standing"].values()) - len(standing))
+            differences["free"] += [
                 row[0] - free[name]
-                for name, row in what["offices"].items()
+                for name, row in content["offices"].items()
                 if name in free and row[0] is not None
             ]
             continue
-        way, flow, peer, kind, call, said, _ = what
+        direction, flow, peer, kind, call, parameters, _ = content
         caller = peer.startswith("caller ")
-        kinds[f"{'caller' if caller else 'office'} {way} {kind.split()[0]}"] += 1
-        report = re.match(r"(?:x0|idle):(-?\d+)", said.get("189", ""))
+        message_counts[f"{'caller' if caller else 'office'} {direction} {kind.split()[0]}"] += 1
+        report = re.match(r"(?:x0|idle):(-?\d+)", parameters.get("189", ""))
         if report and int(report[1]) >= 0:
             free[peer] = int(report[1])
-        if way == "down":
-            gone = open_ if caller else out
-            for name in [n for n, f in gone.items() if f == flow]:
-                del gone[name]
-        elif caller and way == "in" and kind == "IAM":
-            if "at:" in said.get("185", ""):
-                standing[call] = said["185"].partition("at:")[2]
+        if direction == "down":
+            affected = calls_open if caller else set_ups_out
+            for name in [n for n, f in affected.items() if f == flow]:
+                del affected[name]
+        elif caller and direction == "in" and kind == "IAM":
+            if "at:" in parameters.get("185", ""):
+                standing[call] = parameters["185"].partition("at:")[2]
             else:
-                open_[call] = flow
+                calls_open[call] = flow
         elif kind == "REL":
             if caller:
-                open_.pop(call, None)
-            out.pop(call, None)
+                calls_open.pop(call, None)
+            set_ups_out.pop(call, None)
             standing.pop(call, None)
         elif kind == "ANM":
             if caller:
-                open_.pop(call, None)
+                calls_open.pop(call, None)
                 standing[call] = peer
-            elif call in out:
-                del out[call]
+            elif call in set_ups_out:
+                del set_ups_out[call]
         elif kind == "IAM":
-            out[call] = flow
-    print(dict(kinds))
-    for name, values in gaps.items():
-        counted = Counter(values)
-        print(f"{name}: {len(values)} looks, alike {counted[0]}, others {sorted(counted.items())[:24]}")
+            set_ups_out[call] = flow
+    print(dict(message_counts))
+    for name, values in differences.items():
+        counts = Counter(values)
+        print(
+            f"{name}: {len(values)} values, {counts[0]} equal; "
+            f"differences and their counts: {sorted(counts.items())[:24]}"
+        )
     return 0
 
 
 if __name__ == "__main__":
-    sys.exit(run() if sys.argv[1:2] == ["run"] else judge(Path(sys.argv[2])))
+    sys.exit(run() if sys.argv[1:2] == ["run"] else compare(Path(sys.argv[2])))
--- a/eiderstep/standin/__init__.py
+++ b/eiderstep/standin/__init__.py
@@ -1,1 +1,1 @@
-"""Scripted stand-ins for what stands around a call server.  They speak only the published protocols."""
+"""Test doubles of the systems around a call server.  They use only the published protocols."""
--- a/eiderstep/standin/callers.py
+++ b/eiderstep/standin/callers.py
@@ -1,7 +1,7 @@
-"""Callers: they ask for calls, hold them, hang up, redial when refused or cut, and keep the books of service.
+"""Simulated callers: place, hold and end calls, redial after a refusal or a cut, and measure the service.
 
-Service is that of the operators' brief: the worth of calls that stood within the wanted time and were not cut
-over the worth offered, a caller's redials belonging to its first try.
+Service follows the operators' definition: the worth of the calls that were answered within their aim and not
+cut, divided by the worth offered.  A caller's redials count as part of its first attempt.
 """
 
 from __future__ import annotations
@@ -18,98 +18,99 @@
 from eiderstep.standin.element import Element
 
 MS = 1_000_000
-ARRIVED = 0.001  # seconds: a call has reached its own exchange
+ARRIVAL_DELAY = 0.001  # seconds until a sent INVITE has reached its own exchange
 
 
 @dataclass(frozen=True)
 class Class:
-    """What a caller of one class wants.  Times in seconds."""
+    """Properties of a call class, as the callers see them.  Times in seconds."""
 
     name: str
     worth: float
     aim: float
-    hold: float
+    holding_time: float
     late_share: float = 0.25
 
 
 @dataclass(frozen=True)
 class Manners:
-    """How callers behave."""
+    """How callers behave.  Times in seconds."""
 
     patience: float = 3.0
     redials: int = 2
     redial_wait: tuple[float, float] = (0.5, 2.0)
-    heeds_pause: float = 0.7  # share that keeps to the pause it is told
-    leaves_early: float = 0.0  # share of tries hung up before the answer
-    marks: bool = False
+    heeds_pause: float = 0.7  # share of callers that wait as long as Retry-After says
+    leaves_early: float = 0.0  # share of attempts hung up before the answer
+    marks: bool = False  # whether redials carry the mark "redialled"
 
 
 @dataclass(eq=False)
-class Ask:
-    """One caller's wish, over all its tries."""
+class CallIntent:
+    """One caller's wish to reach a number, over all its attempts (ITU-T E.600: call intent)."""
 
     cls: Class
     number: str
     born: float
     tries: int = 0
-    since: float = 0.0  # the aim runs from here: the first try, or the cut
+    aim_start: float = 0.0  # the aim is counted from here: the first attempt, or the redial after a cut
     earned: float = 0.0
     cut: bool = False
     outcome: str = ""
 
 
 @dataclass(eq=False)
-class Try:
-    """One INVITE."""
+class CallAttempt:
+    """One INVITE of a call intent."""
 
-    ask: Ask
+    ask: CallIntent
     invite: Message
     tx: Transaction
-    sent: float
+    sent_at: float
     state: str = "asked"  # "asked", "standing", "over"
     dialog: Dialog | None = None
-    finals: list[int] = field(default_factory=list)
-    pressed: bool = False  # a CANCEL is wanted
+    final_statuses: list[int] = field(default_factory=list)
+    cancel_wanted: bool = False  # a CANCEL is sent once a provisional response allows it
 
 
 class Callers(Element):
-    """All callers of one exchange, over a few connections."""
+    """All callers of one exchange, sharing a few connections to its call server."""
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, server: str, rng: Random, manners: Manners,
         connections: int = 4, name: str = "callers",
     ) -> None:  # fmt: skip
         super().__init__(loop, name, rng)
-        self.server_address, self.manners, self.connections = server, manners, connections
+        self.server_address, self.manners, self.connection_count = server, manners, connections
         self.address = "127.0.0.1:9"
         self.flows_up: list[int] = []
-        self.asks: list[Ask] = []
-        self.standing: dict[tuple[str, str], Try] = {}
+        self.asks: list[CallIntent] = []
+        self.standing: dict[tuple[str, str], CallAttempt] = {}
         self.took: list[float] = []
         self.finals: dict[int, int] = {}
-        self.unanswered: list[float] = []  # when their time was up
-        self.quiet = False
-        self.look_wait: Callable[[], float] | None = None  # until the exchange looks at a call made now (s)
+        self.unanswered: list[float] = []  # give-up times of attempts that got no final response
+        self.quiet = False  # no more redials
+        # Seconds that a call which arrives now waits for the exchange's processor; None: no such wait.
+        self.look_wait: Callable[[], float] | None = None
 
     async def connect(self) -> None:
-        for _ in range(self.connections):
+        for _ in range(self.connection_count):
             flow = await self.dial(self.server_address)
             self.flows_up.append(flow)
 
-    def offer(self, cls: Class, number: str) -> Ask:
-        """A new caller."""
-        ask = Ask(cls, number, self.loop.time(), since=self.loop.time())
-        self.asks.append(ask)
-        self._try(ask)
-        return ask
+    def offer(self, cls: Class, number: str) -> CallIntent:
+        """Start the first attempt of a new caller."""
+        intent = CallIntent(cls, number, self.loop.time(), aim_start=self.loop.time())
+        self.asks.append(intent)
+        self._start_attempt(intent)
+        return intent
 
-    def _try(self, ask: Ask) -> None:
-        ask.tries += 1
+    def _start_attempt(self, intent: CallIntent) -> None:
+        intent.tries += 1
         if not self.flows_up:
-            self._redial(ask, 0.0)
+            self._schedule_redial(intent, 0.0)
             return
         flow = self.flows_up[self.rng.randrange(len(self.flows_up))]
-        uri = f"sip:{ask.number}@{self.server_address}"
+        uri = f"sip:{intent.number}@{self.server_address}"
         patience = self.manners.patience
         invite = request(
             "INVITE", uri, via=self.via(), sender=f"<sip:caller@{self.address}>;tag={self.new_id()}",
@@ -118,137 +119,150 @@
         invite.set("contact", f"<sip:caller@{self.address}>")
         invite.set("expires", str(-(-int(patience * 1000) // 1000)))
         invite.set(fields.PATIENCE, str(int(patience * 1000)))
-        invite.set(fields.CLASS, ask.cls.name)
+        invite.set(fields.CLASS, intent.cls.name)
         invite.set("session-id", f"{self.rng.getrandbits(128):032x}")
-        marks = (["redialled"] if self.manners.marks and ask.tries > 1 else []) + (["cut"] if ask.cut else [])
+        marks = (["redialled"] if self.manners.marks and intent.tries > 1 else []) + (
+            ["cut"] if intent.cut else []
+        )
         invite.set(fields.MARKS, ",".join(marks) or None)
         tx = self.transactions.send(self.now(), flow, invite)
-        one = Try(ask, invite, tx, self.loop.time())
-        tx.owner = one
+        attempt = CallAttempt(intent, invite, tx, self.loop.time())
+        tx.owner = attempt
         if self.rng.random() < self.manners.leaves_early:
-            self.later(self.rng.random() * patience / 2, lambda: self._leave(one))
+            self.call_later(self.rng.random() * patience / 2, lambda: self._hang_up_early(attempt))
         if self.look_wait is None:
-            self.later(patience + 0.02, lambda: self._too_late(one))
-        else:  # asked once the call has arrived: what holds the queue up later is behind it
+            self.call_later(patience + 0.02, lambda: self._give_up(attempt))
+        else:
+            # The processor's wait is read when the INVITE has arrived, as later work queues behind this call.
             wait = self.look_wait
-            self.later(ARRIVED, lambda: self.later(patience + 0.02 + wait(), lambda: self._too_late(one)))
+            self.call_later(
+                ARRIVAL_DELAY,
+                lambda: self.call_later(patience + 0.02 + wait(), lambda: self._give_up(attempt)),
+            )
         self.pump()
 
-    def _leave(self, one: Try) -> None:
-        """The caller hangs up before the answer."""
-        if one.state == "asked":
-            one.ask.outcome = one.ask.outcome or "left"
-            one.ask.tries = 99  # it does not come back
-            self._cancel(one)
-
-    def _cancel(self, one: Try) -> None:
-        one.pressed = True  # section 9.1: not before a provisional answer
-        if one.tx.state is State.PROCEEDING:
-            self._send_cancel(one)
-
-    def _send_cancel(self, one: Try) -> None:
-        if one.pressed:
-            one.pressed = False
-            self.transactions.send(self.now(), one.tx.flow, cancel(one.invite))
-
-    def _too_late(self, one: Try) -> None:
-        if one.state == "asked" and not one.finals:
-            self.unanswered.append(one.sent + self.manners.patience)
-            one.state = "over"
-            self._cancel(one)
-            self._redial(one.ask, 0.0)
-
-    def _redial(self, ask: Ask, pause: float) -> None:
-        if ask.tries > self.manners.redials or self.quiet:
-            ask.outcome = ask.outcome or "given up"
+    def _hang_up_early(self, attempt: CallAttempt) -> None:
+        """Hang up before the answer, without a redial."""
+        if attempt.state == "asked":
+            attempt.ask.outcome = attempt.ask.outcome or "left"
+            attempt.ask.tries = 99  # above every limit of redials
+            self._request_cancel(attempt)
+
+    def _request_cancel(self, attempt: CallAttempt) -> None:
+        attempt.cancel_wanted = True  # RFC 3261, 9.1: no CANCEL before a provisional response
+        if attempt.tx.state is State.PROCEEDING:
+            self._send_cancel(attempt)
+
+    def _send_cancel(self, attempt: CallAttempt) -> None:
+        if attempt.cancel_wanted:
+            attempt.cancel_wanted = False
+            self.transactions.send(self.now(), attempt.tx.flow, cancel(attempt.invite))
+
+    def _give_up(self, attempt: CallAttempt) -> None:
+        if attempt.state == "asked" and not attempt.final_statuses:
+            self.unanswered.append(attempt.sent_at + self.manners.patience)
+            attempt.state = "over"
+            self._request_cancel(attempt)
+            self._schedule_redial(attempt.ask, 0.0)
+
+    def _schedule_redial(self, intent: CallIntent, pause: float) -> None:
+        if intent.tries > self.manners.redials or self.quiet:
+            intent.outcome = intent.outcome or "given up"
             return
         wait = self.rng.uniform(*self.manners.redial_wait)
         if pause and self.rng.random() < self.manners.heeds_pause:
             wait = max(wait, pause)
-        self.later(wait, lambda: self._try(ask))
+        self.call_later(wait, lambda: self._start_attempt(intent))
 
-    def on_answer(self, tx: Transaction, message: Message) -> None:
-        one = tx.owner
-        if not isinstance(one, Try) or tx.kind is not Kind.CLIENT_INVITE:
+    def on_response(self, tx: Transaction, message: Message) -> None:
+        attempt = tx.owner
+        if not isinstance(attempt, CallAttempt) or tx.kind is not Kind.CLIENT_INVITE:
             return
         if message.status < 200:
-            self._send_cancel(one)
+            self._send_cancel(attempt)
             return
         if message.status < 300:
-            ack = acknowledge(one.invite, message, self.via())
+            ack = acknowledge(attempt.invite, message, self.via())
             self.transactions.out.append((tx.flow, ack.encode()))
-            if one.dialog is not None:
+            if attempt.dialog is not None:
                 return
-        one.finals.append(message.status)
+        attempt.final_statuses.append(message.status)
         self.finals[message.status] = self.finals.get(message.status, 0) + 1
         if message.status >= 300:
-            if one.state == "asked":
-                one.state = "over"
-                self._redial(one.ask, fields.read_wait(message) / 1e9)
+            if attempt.state == "asked":
+                attempt.state = "over"
+                self._schedule_redial(attempt.ask, fields.read_wait(message) / 1e9)
             return
-        one.dialog = Dialog.of_client(one.invite, message, tx.flow)
-        self.standing[one.invite.call_id, one.invite.from_tag] = one
-        now, ask = self.loop.time(), one.ask
-        if one.state != "asked" or ask.tries > 90:
-            one.state = "standing"
-            self._hang_up(one)
+        attempt.dialog = Dialog.of_client(attempt.invite, message, tx.flow)
+        self.standing[attempt.invite.call_id, attempt.invite.from_tag] = attempt
+        now, intent = self.loop.time(), attempt.ask
+        if attempt.state != "asked" or intent.tries > 90:
+            attempt.state = "standing"
+            self._hang_up(attempt)
             return
-        one.state = "standing"
-        self.took.append(now - one.sent)
-        ask.earned = ask.cls.worth * (1.0 if now - ask.since <= ask.cls.aim else ask.cls.late_share)
-        ask.outcome = "stands"
-        self.later(self.rng.expovariate(1 / ask.cls.hold), lambda: self._hang_up(one))
-
-    def _hang_up(self, one: Try) -> None:
-        if one.state == "standing" and one.dialog is not None:
-            one.state = "over"
-            self.standing.pop((one.invite.call_id, one.invite.from_tag), None)
-            bye = one.dialog.request("BYE", self.via())
+        attempt.state = "standing"
+        self.took.append(now - attempt.sent_at)
+        intent.earned = intent.cls.worth * (
+            1.0 if now - intent.aim_start <= intent.cls.aim else intent.cls.late_share
+        )
+        intent.outcome = "stands"
+        self.call_later(self.rng.expovariate(1 / intent.cls.holding_time), lambda: self._hang_up(attempt))
+
+    def _hang_up(self, attempt: CallAttempt) -> None:
+        if attempt.state == "standing" and attempt.dialog is not None:
+            attempt.state = "over"
+            self.standing.pop((attempt.invite.call_id, attempt.invite.from_tag), None)
+            bye = attempt.dialog.request("BYE", self.via())
             bye.set("reason", fields.reason(fields.NORMAL))
-            self.transactions.send(self.now(), one.dialog.flow, bye)
+            self.transactions.send(self.now(), attempt.dialog.flow, bye)
 
     def on_request(self, tx: Transaction, message: Message) -> None:
-        one = self.standing.pop((message.call_id, message.to_tag), None)
-        known = message.method == "BYE" and one is not None
-        self.transactions.respond(self.now(), tx, response(message, 200 if known else 481))
-        if known and one is not None:
-            one.state = "over"
+        attempt = self.standing.pop((message.call_id, message.to_tag), None)
+        expected = message.method == "BYE" and attempt is not None
+        self.transactions.respond(self.now(), tx, response(message, 200 if expected else 481))
+        if expected and attempt is not None:
+            attempt.state = "over"
             if fields.read_reason(message)[1] != fields.NORMAL:
-                self._cut(one.ask)
+                self._handle_cut(attempt.ask)
 
-    def _cut(self, ask: Ask) -> None:
-        """A cut call is lost unless it stands once more within its aim."""
-        ask.earned, ask.cut, ask.outcome = 0.0, True, "cut"
-        if ask.tries <= self.manners.redials and not self.quiet:
+    def _handle_cut(self, intent: CallIntent) -> None:
+        """Take back the worth of a cut call; a redial earns it again if the call stands within its aim."""
+        intent.earned, intent.cut, intent.outcome = 0.0, True, "cut"
+        if intent.tries <= self.manners.redials and not self.quiet:
             wait = self.rng.uniform(*self.manners.redial_wait)
-            ask.since = self.loop.time() + wait
-            self.later(wait, lambda: self._try(ask))
+            intent.aim_start = self.loop.time() + wait
+            self.call_later(wait, lambda: self._start_attempt(intent))
 
-    def on_no_answer(self, tx: Transaction, broken: bool) -> None:
-        one = tx.owner
-        if isinstance(one, Try) and one.state == "asked":
-            one.state = "over"
-            self._redial(one.ask, 0.0)
+    def on_transaction_failed(self, tx: Transaction, broken: bool) -> None:
+        attempt = tx.owner
+        if isinstance(attempt, CallAttempt) and attempt.state == "asked":
+            attempt.state = "over"
+            self._schedule_redial(attempt.ask, 0.0)
 
-    def on_gone(self, flow: int) -> None:
+    def on_connection_lost(self, flow: int) -> None:
+        """Count the calls of the connection as cut."""
         if flow in self.flows_up:
             self.flows_up.remove(flow)
-            for one in [t for t in self.standing.values() if t.dialog is not None and t.dialog.flow == flow]:
-                self.standing.pop((one.invite.call_id, one.invite.from_tag), None)
-                one.state = "over"
-                self._cut(one.ask)
+            for attempt in [
+                candidate
+                for candidate in self.standing.values()
+                if candidate.dialog is not None and candidate.dialog.flow == flow
+            ]:
+                self.standing.pop((attempt.invite.call_id, attempt.invite.from_tag), None)
+                attempt.state = "over"
+                self._handle_cut(attempt.ask)
 
     def vanish(self, index: int) -> None:
-        """One connection breaks, with all that waits on it."""
+        """Abort the connection at `index`, with the calls and attempts on it."""
         if index < len(self.flows_up):
-            wire = self.wires.get(self.flows_up[index])
-            if wire is not None:
-                wire.transport.abort()
+            connection = self.connection_by_flow.get(self.flows_up[index])
+            if connection is not None:
+                connection.transport.abort()
 
 
 @dataclass(frozen=True)
 class Weights:
-    """How the parts of service are weighted, and the length of its windows (s)."""
+    """Weights of the parts of the service score, and the length of its windows (s)."""
 
     whole: float = 0.6
     window: float = 0.2
@@ -256,22 +270,25 @@
     length: float = 10.0
 
 
-def service(asks: list[Ask], weights: Weights, start: float) -> dict[str, float]:
-    """The parts of service and their weighted sum, 0 to 1; asks before `start` are left out."""
-
-    def share(part: list[Ask]) -> float:
-        offered = sum(a.cls.worth for a in part)
-        return sum(a.earned for a in part) / offered if offered else 1.0
-
-    counted = [a for a in asks if a.born >= start]
-    windows: dict[int, list[Ask]] = {}
-    classes: dict[str, list[Ask]] = {}
-    for ask in counted:
-        windows.setdefault(int((ask.born - start) / weights.length), []).append(ask)
-        classes.setdefault(ask.cls.name, []).append(ask)
-    whole = share(counted)
-    worst = min((share(part) for part in windows.values()), default=1.0)
-    poorest = min((share(part) for part in classes.values()), default=1.0)
-    total = weights.whole * whole + weights.window * worst + weights.by_class * poorest
-    result = {"service": total, "whole": whole, "worst_window": worst, "worst_class": poorest}
-    return result | {f"class {name}": share(part) for name, part in sorted(classes.items())}
+def service(intents: list[CallIntent], weights: Weights, start: float) -> dict[str, float]:
+    """Return the parts of the service score and their weighted sum, each 0 to 1.
+
+    Call intents created before `start` are left out.
+    """
+
+    def earned_share(part: list[CallIntent]) -> float:
+        offered = sum(intent.cls.worth for intent in part)
+        return sum(intent.earned for intent in part) / offered if offered else 1.0
+
+    counted = [intent for intent in intents if intent.born >= start]
+    windows: dict[int, list[CallIntent]] = {}
+    classes: dict[str, list[CallIntent]] = {}
+    for intent in counted:
+        windows.setdefault(int((intent.born - start) / weights.length), []).append(intent)
+        classes.setdefault(intent.cls.name, []).append(intent)
+    whole = earned_share(counted)
+    worst_window = min((earned_share(part) for part in windows.values()), default=1.0)
+    worst_class = min((earned_share(part) for part in classes.values()), default=1.0)
+    total = weights.whole * whole + weights.window * worst_window + weights.by_class * worst_class
+    result = {"service": total, "whole": whole, "worst_window": worst_window, "worst_class": worst_class}
+    return result | {f"class {name}": earned_share(part) for name, part in sorted(classes.items())}
--- a/eiderstep/standin/element.py
+++ b/eiderstep/standin/element.py
@@ -1,4 +1,4 @@
-"""A SIP element for stand-ins: sockets, parser and transactions, with handlers for a subclass to fill."""
+"""Base class of the SIP stand-ins: sockets, parser and transactions; subclasses implement the handlers."""
 
 from __future__ import annotations
 
@@ -11,213 +11,219 @@
 from eiderstep.sip.parser import BadMessage, Parser, parse_datagram
 from eiderstep.sip.transaction import Answer, NewRequest, NoAnswer, Times, Transaction, Transactions
 
-SECOND = 1_000_000_000
+SECOND = 1_000_000_000  # ns
 
 
-class Wire(asyncio.Protocol):
-    """One connection of an element."""
+class Connection(asyncio.Protocol):
+    """One TCP connection of an element."""
 
     def __init__(self, element: Element, flow: int) -> None:
         self.element, self.flow, self.parser = element, flow, Parser()
         self.transport: Any = None
-        self.torn = 0.0  # seconds: what is written next comes in two halves, so far apart
-        self.behind: list[bytes] | None = None  # what waits for the second half
+        self.split_delay = 0.0  # seconds between the two halves of the next write; 0: not split
+        self.queued_writes: list[bytes] | None = None  # second half and what follows, while one is pending
 
     def write(self, data: bytes) -> None:
-        """Send, or wait behind an answer that has been torn in two."""
-        if self.behind is not None:
-            self.behind.append(data)
-        elif self.torn:
+        """Send, or queue behind a message of which the second half is still to be sent."""
+        if self.queued_writes is not None:
+            self.queued_writes.append(data)
+        elif self.split_delay:
             half = len(data) // 2
-            self.behind = [data[half:]]
+            self.queued_writes = [data[half:]]
             self.transport.write(data[:half])
-            self.element.later(self.torn, self._rest)
-            self.torn = 0.0
+            self.element.call_later(self.split_delay, self._write_rest)
+            self.split_delay = 0.0
         else:
             self.transport.write(data)
 
-    def tear(self, seconds: float) -> None:
-        """The next message sent on this connection comes in two halves, so long apart."""
-        self.torn = seconds
+    def split_next_write(self, seconds: float) -> None:
+        """Send the next message on this connection in two halves, that many seconds apart."""
+        self.split_delay = seconds
 
-    def _rest(self) -> None:
-        rest, self.behind = self.behind or [], None
+    def _write_rest(self) -> None:
+        rest, self.queued_writes = self.queued_writes or [], None
         if not self.transport.is_closing():
             self.transport.write(b"".join(rest))
 
     def connection_made(self, transport: Any) -> None:
         self.transport = transport
-        self.element.wires[self.flow] = self
+        self.element.connection_by_flow[self.flow] = self
 
     def data_received(self, data: bytes) -> None:
-        self.element.data(self.flow, self.parser.feed(data))
+        self.element.handle_items(self.flow, self.parser.feed(data))
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.element.gone(self.flow)
+        self.element.handle_connection_lost(self.flow)
 
 
-class Packets(asyncio.DatagramProtocol):
-    """The UDP socket of an element: each far address is a flow."""
+class UdpSocket(asyncio.DatagramProtocol):
+    """The UDP socket of an element: each remote address is a flow."""
 
     def __init__(self, element: Element) -> None:
         self.element = element
-        self.flows: dict[Any, int] = {}
+        self.flow_by_address: dict[Any, int] = {}
         self.transport: Any = None
 
     def connection_made(self, transport: Any) -> None:
         self.transport = transport
 
-    def flow(self, address: Any) -> int:
-        if address not in self.flows:
-            self.element.flows += 1
-            self.flows[address] = self.element.flows
-            self.element.packet_flows[self.element.flows] = address
-        return self.flows[address]
+    def flow_of(self, address: Any) -> int:
+        """Return the flow of a remote address, a new one for a new address."""
+        if address not in self.flow_by_address:
+            self.element.flow_count += 1
+            self.flow_by_address[address] = self.element.flow_count
+            self.element.udp_address_by_flow[self.element.flow_count] = address
+        return self.flow_by_address[address]
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
         item = parse_datagram(data)
         if item is not None:
-            self.element.data(self.flow(addr), [item])
+            self.element.handle_items(self.flow_of(addr), [item])
 
 
 class Element:
-    """Listens at one address, dials others, and runs transactions over both."""
+    """Listens at one address, connects to others, and runs SIP transactions over both.
+
+    `dead` is set by `die`; nothing is received, sent or run afterwards.  `malformed` describes received
+    messages that could not be parsed.
+    """
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, name: str, rng: Random, times: Times | None = None
     ) -> None:
         self.loop, self.name, self.rng = loop, name, rng
         self.transactions = Transactions(times)
-        self.wires: dict[int, Wire] = {}
-        self.packets: Packets | None = None
-        self.packet_flows: dict[int, Any] = {}
+        self.connection_by_flow: dict[int, Connection] = {}
+        self.udp_socket: UdpSocket | None = None
+        self.udp_address_by_flow: dict[int, Any] = {}
         self.links: dict[str, int] = {}
         self.server: Any = None
         self.address = ""
-        self.host = ""  # dials from this address; empty: any
-        self.flows = self.ids = 0
+        self.host = ""  # source address of outgoing connections; empty: any
+        self.flow_count = self.id_count = 0
         self.timer: asyncio.TimerHandle | None = None
         self.dead = False
         self.malformed: list[str] = []
 
     def now(self) -> int:
+        """Return the loop's time in ns."""
         return int(self.loop.time() * SECOND)
 
     def new_id(self) -> str:
-        self.ids += 1
-        return f"{self.name}-{self.ids:x}"
+        self.id_count += 1
+        return f"{self.name}-{self.id_count:x}"
 
     def via(self) -> str:
         return f"SIP/2.0/TCP {self.address};branch=z9hG4bK{self.new_id()}"
 
     async def listen(self, host: str = "127.0.0.1", port: int = 0) -> str:
-        """Bind; returns the address."""
+        """Listen for TCP connections; return the address."""
         self.server = await self.loop.create_server(self._accept, host, port, backlog=256)
-        name = self.server.sockets[0].getsockname()
-        self.address = f"{name[0]}:{name[1]}"
+        bound = self.server.sockets[0].getsockname()
+        self.address = f"{bound[0]}:{bound[1]}"
         return self.address
 
     async def listen_udp(self) -> str:
-        """A UDP socket, whose flows are unreliable; returns the address."""
+        """Open a UDP socket, whose flows are unreliable transports; return the address."""
         host, port = split_address(self.address) if self.address else ("127.0.0.1", 0)
-        _, self.packets = await self.loop.create_datagram_endpoint(
-            lambda: Packets(self), local_addr=(host, port)
+        _, self.udp_socket = await self.loop.create_datagram_endpoint(
+            lambda: UdpSocket(self), local_addr=(host, port)
         )
-        name = self.packets.transport.get_extra_info("sockname")
-        self.address = f"{name[0]}:{name[1]}"
+        bound = self.udp_socket.transport.get_extra_info("sockname")
+        self.address = f"{bound[0]}:{bound[1]}"
         return self.address
 
-    def _accept(self) -> Wire:
-        self.flows += 1
-        return Wire(self, self.flows)
+    def _accept(self) -> Connection:
+        self.flow_count += 1
+        return Connection(self, self.flow_count)
 
     async def dial(self, address: str) -> int:
-        """A connection to an address; raises OSError."""
-        self.flows += 1
-        flow = self.flows
+        """Connect to an address and return the flow.  Raises OSError."""
+        self.flow_count += 1
+        flow = self.flow_count
         host, port = split_address(address)
-        extra: dict[str, Any] = {"local_addr": (self.host, 0)} if self.host else {}
-        await self.loop.create_connection(lambda: Wire(self, flow), host, port, **extra)
+        options: dict[str, Any] = {"local_addr": (self.host, 0)} if self.host else {}
+        await self.loop.create_connection(lambda: Connection(self, flow), host, port, **options)
         self.links[address] = flow
         return flow
 
-    def data(self, flow: int, items: list[Message | BadMessage]) -> None:
+    def handle_items(self, flow: int, items: list[Message | BadMessage]) -> None:
         if self.dead:
             return
         for item in items:
             if isinstance(item, BadMessage):
                 self.malformed.append(item.text)
                 continue
-            self.transactions.receive(self.now(), flow, item, flow not in self.packet_flows)
+            self.transactions.receive(self.now(), flow, item, flow not in self.udp_address_by_flow)
         self.pump()
 
-    def gone(self, flow: int) -> None:
-        self.wires.pop(flow, None)
+    def handle_connection_lost(self, flow: int) -> None:
+        self.connection_by_flow.pop(flow, None)
         for address in [a for a, f in self.links.items() if f == flow]:
             del self.links[address]
         if not self.dead:
             self.transactions.broken(self.now(), flow)
-            self.on_gone(flow)
+            self.on_connection_lost(flow)
             self.pump()
 
     def pump(self) -> None:
-        """Hand events to the handlers, write what is to be sent, set the timer."""
+        """Pass pending events to the handlers, write pending messages, and set the timer."""
         layer = self.transactions
         while layer.events:
-            found, layer.events[:] = layer.events[:], []
-            for event in found:
+            events, layer.events[:] = layer.events[:], []
+            for event in events:
                 if isinstance(event, NewRequest):
                     self.on_request(event.tx, event.message)
                 elif isinstance(event, Answer):
-                    self.on_answer(event.tx, event.message)
+                    self.on_response(event.tx, event.message)
                 elif isinstance(event, NoAnswer):
-                    self.on_no_answer(event.tx, event.broken)
-        out, layer.out[:] = layer.out[:], []
-        for flow, data in out:
-            wire = self.wires.get(flow)
-            if wire is not None and not wire.transport.is_closing():
-                wire.write(data)
-            elif flow in self.packet_flows and self.packets is not None:
-                self.packets.transport.sendto(data, self.packet_flows[flow])
+                    self.on_transaction_failed(event.tx, event.broken)
+        messages, layer.out[:] = layer.out[:], []
+        for flow, data in messages:
+            connection = self.connection_by_flow.get(flow)
+            if connection is not None and not connection.transport.is_closing():
+                connection.write(data)
+            elif flow in self.udp_address_by_flow and self.udp_socket is not None:
+                self.udp_socket.transport.sendto(data, self.udp_address_by_flow[flow])
         due = layer.next_due()
         if self.timer is not None:
             self.timer.cancel()
-        self.timer = None if due is None else self.loop.call_at(due / SECOND + 1e-6, self._due)
+        self.timer = None if due is None else self.loop.call_at(due / SECOND + 1e-6, self._run_due_timers)
 
-    def _due(self) -> None:
+    def _run_due_timers(self) -> None:
         if not self.dead:
             self.transactions.due(self.now())
             self.pump()
 
-    def later(self, seconds: float, what: Callable[[], object]) -> None:
-        """Do something later, unless the element has died by then."""
+    def call_later(self, seconds: float, action: Callable[[], object]) -> None:
+        """Run `action` after a delay, unless the element is dead by then."""
 
         def run() -> None:
             if not self.dead:
-                what()
+                action()
                 self.pump()
 
         self.loop.call_later(seconds, run)
 
     def die(self) -> None:
-        """As a killed process: connections reset, nothing answered."""
+        """Behave as a killed process: reset all connections and answer nothing from now on."""
         self.dead = True
         if self.server is not None:
             self.server.close()
-        for wire in list(self.wires.values()):
-            wire.transport.abort()
-        self.wires.clear()
+        for connection in list(self.connection_by_flow.values()):
+            connection.transport.abort()
+        self.connection_by_flow.clear()
 
     # -- for subclasses ------------------------------------------------------------------------------------
 
     def on_request(self, tx: Transaction, message: Message) -> None:
         raise NotImplementedError
 
-    def on_answer(self, tx: Transaction, message: Message) -> None:
+    def on_response(self, tx: Transaction, message: Message) -> None:
         raise NotImplementedError
 
-    def on_no_answer(self, tx: Transaction, broken: bool) -> None:
-        """A request of ours got no final answer."""
+    def on_transaction_failed(self, tx: Transaction, broken: bool) -> None:
+        """A request got no final response, or a 2xx no ACK.  `broken`: the connection was lost."""
 
-    def on_gone(self, flow: int) -> None:
-        """A connection is lost."""
+    def on_connection_lost(self, flow: int) -> None:
+        """The connection of `flow` was lost."""
--- a/eiderstep/standin/eureka.py
+++ b/eiderstep/standin/eureka.py
@@ -1,8 +1,8 @@
-"""A Eureka registry's tables: leases, what is shown of them and when, deltas, peers.  Wire: eureka_wire.py.
+"""The lease table of a Eureka peer: leases, response cache, deltas, replication.  HTTP: eureka_wire.py.
 
-As in the original, what is answered comes from a cache: a change is shown `lag` after it was made, reaches
-the other peers `replication` later, and stays in the delta for `retention`.  Leases that are over are evicted
-unless too many are (Eureka's own self-preservation).
+As in Netflix Eureka, responses come from a cache: a change appears in them `lag` seconds after it was made,
+reaches the other peers after `replication` seconds, and stays in the delta for `retention` seconds.  Expired
+leases are evicted unless too many have expired (Eureka's self-preservation).
 """
 
 from __future__ import annotations
@@ -17,12 +17,16 @@
 
 import msgspec
 
-PRESERVED = 0.85  # of the leases must be renewed, or none is evicted
+RENEWAL_THRESHOLD = 0.85  # share of leases; no lease is evicted while fewer are renewed (self-preservation)
 
 
 @dataclass
 class Record:
-    """One registered instance.  Times in ms of the registry's clock; `dirty` of the instance's."""
+    """One registered instance.
+
+    `updated`, `registered` and `renewed` are ms of the registry's clock, `dirty` ms of the instance's clock,
+    `renew` and `duration` seconds.
+    """
 
     app: str
     id: str
@@ -30,7 +34,7 @@
     port: int
     metadata: dict[str, str] = field(default_factory=dict)
     status: str = "UP"
-    override: str = ""
+    status_override: str = ""
     vip: str = ""
     dirty: int = 0
     updated: int = 0
@@ -42,14 +46,15 @@
 
     @property
     def shown(self) -> str:
-        return self.override or self.status
+        """The status that responses contain: the operators' override if there is one."""
+        return self.status_override or self.status
 
 
-def as_json(record: Record) -> dict[str, Any]:
-    """In the form of Eureka's JSON codec: numbers as strings here and there, `$` and `@` from its XML."""
+def instance_json(record: Record) -> dict[str, Any]:
+    """Return an instance as Eureka's JSON codec has it: some numbers as strings, `$` and `@` from its XML."""
     return {
         "instanceId": record.id, "hostName": record.host, "app": record.app, "ipAddr": record.host,
-        "status": record.shown, "overriddenStatus": record.override or "UNKNOWN",
+        "status": record.shown, "overriddenStatus": record.status_override or "UNKNOWN",
         "port": {"$": record.port, "@enabled": "true"}, "securePort": {"$": 443, "@enabled": "false"},
         "countryId": 1,
         "dataCenterInfo": {
@@ -70,38 +75,42 @@
     }  # fmt: skip
 
 
-def _element(name: str, value: Any) -> str:
+def _xml_element(name: str, value: Any) -> str:
     if not isinstance(value, dict):
         return f"<{name}>{escape(str(value))}</{name}>"
-    marks = "".join(f' {key[1:]}="{escape(str(v))}"' for key, v in value.items() if key.startswith("@"))
+    attributes = "".join(f' {key[1:]}="{escape(str(v))}"' for key, v in value.items() if key.startswith("@"))
     if "$" in value:
-        return f"<{name}{marks}>{escape(str(value['$']))}</{name}>"
-    inner = "".join(_element(key, v) for key, v in value.items() if not key.startswith("@"))
-    return f"<{name}{marks}>{inner}</{name}>"
+        return f"<{name}{attributes}>{escape(str(value['$']))}</{name}>"
+    inner = "".join(_xml_element(key, v) for key, v in value.items() if not key.startswith("@"))
+    return f"<{name}{attributes}>{inner}</{name}>"
 
 
 def render(
     records: list[Record], form: str, version: int, hashcode: str, root: str = "applications"
 ) -> bytes:
-    """An answer.  `root`: applications, or application or instance for one."""
+    """Return a response body.  `form`: "json" or "xml"; `root`: applications, application or instance."""
     if root == "instance":
-        one = as_json(records[0])
+        instance = instance_json(records[0])
         return (
-            msgspec.json.encode({"instance": one}) if form == "json" else _element("instance", one).encode()
+            msgspec.json.encode({"instance": instance})
+            if form == "json"
+            else _xml_element("instance", instance).encode()
         )
     apps: dict[str, list[dict[str, Any]]] = {}
     for record in records:
-        apps.setdefault(record.app, []).append(as_json(record))
+        apps.setdefault(record.app, []).append(instance_json(record))
     if form == "json":
-        shown: list[dict[str, Any]] = [{"name": name, "instance": found} for name, found in apps.items()]
+        applications: list[dict[str, Any]] = [
+            {"name": name, "instance": instances} for name, instances in apps.items()
+        ]
         if root == "application":
-            return msgspec.json.encode({"application": shown[0]})
-        head = {"versions__delta": str(version), "apps__hashcode": hashcode, "application": shown}
-        return msgspec.json.encode({"applications": head})
+            return msgspec.json.encode({"application": applications[0]})
+        content = {"versions__delta": str(version), "apps__hashcode": hashcode, "application": applications}
+        return msgspec.json.encode({"applications": content})
     parts = []
-    for name, found in apps.items():
-        inside = "".join(_element("instance", one) for one in found)
-        parts.append(f"<application><name>{escape(name)}</name>{inside}</application>")
+    for name, instances in apps.items():
+        inner = "".join(_xml_element("instance", instance) for instance in instances)
+        parts.append(f"<application><name>{escape(name)}</name>{inner}</application>")
     if root == "application":
         return parts[0].encode()
     head_xml = f"<versions__delta>{version}</versions__delta><apps__hashcode>{hashcode}</apps__hashcode>"
@@ -109,125 +118,129 @@
 
 
 class Table:
-    """One peer's leases and what it shows."""
+    """The leases of one peer, and the cache that its responses are made from.
+
+    `epoch` returns the registry's clock in ms; `lag`, `replication` and `retention` are seconds.
+    """
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, epoch: Callable[[], int], lag: float = 0.0,
         replication: float = 0.05, retention: float = 180.0,
     ) -> None:  # fmt: skip
         self.loop, self.epoch = loop, epoch
-        self.lag, self.replication, self.retention = lag, replication, retention
+        self.lag, self.replication_delay, self.delta_retention = lag, replication, retention
         self.leases: dict[tuple[str, str], Record] = {}
-        self.shown: dict[tuple[str, str], Record] = {}
+        self.published: dict[tuple[str, str], Record] = {}
         self.recent: deque[tuple[float, Record]] = deque()
         self.version = 1
-        self.stamp = 0  # moves with anything that an answer shows
+        self.revision = 0  # incremented with every change of what responses contain
         self.peers: list[Table] = []
-        self.keeps_gone = False  # a lie: departures are never shown
-        self.evictions = 0
+        self.hides_removals = False  # injected fault: removed instances stay in the responses
+        self.eviction_count = 0
 
-    # -- what clients do -----------------------------------------------------------------------------------
+    # -- changes by clients and by eviction ----------------------------------------------------------------
 
     def register(self, record: Record, replicated: bool = False) -> None:
-        """POST: a new lease, or a new word on one; an older `dirty` than the one held changes nothing."""
+        """POST: create or replace a lease, unless the one held has a later `dirty`."""
         key = (record.app, record.id)
         held = self.leases.get(key)
         if held is not None and held.dirty > record.dirty:
             return
-        mine = copy(record)
-        mine.registered = mine.renewed = mine.updated = self.epoch()
-        mine.override = held.override if held is not None else ""
-        mine.action = "ADDED"
-        self.leases[key] = mine
-        self._show(mine)
+        lease = copy(record)
+        lease.registered = lease.renewed = lease.updated = self.epoch()
+        lease.status_override = held.status_override if held is not None else ""
+        lease.action = "ADDED"
+        self.leases[key] = lease
+        self._schedule_publish(lease)
         self._replicate(replicated, lambda peer: peer.register(record, True))
 
     def renew(self, app: str, name: str, replicated: bool = False) -> bool:
-        """PUT: False is 404, register anew."""
+        """PUT: renew a lease.  False (404) if there is none; the instance then has to register again."""
         held = self.leases.get((app, name))
         if held is None:
             return False
         held.renewed = self.epoch()
-        shown = self.shown.get((app, name))
+        shown = self.published.get((app, name))
         if shown is not None:
             shown.renewed = held.renewed
-            self.stamp += 1
+            self.revision += 1
         self._replicate(replicated, lambda peer: peer.renew(app, name, True))
         return True
 
-    def override(self, app: str, name: str, status: str, replicated: bool = False) -> bool:
-        """PUT or DELETE of the status: the operators' word, empty to take it back."""
+    def set_status_override(self, app: str, name: str, status: str, replicated: bool = False) -> bool:
+        """PUT or DELETE of the status: set the operators' override, or remove it if `status` is empty."""
         held = self.leases.get((app, name))
         if held is None:
             return False
-        held.override, held.updated, held.action = status, self.epoch(), "MODIFIED"
-        self._show(held)
-        self._replicate(replicated, lambda peer: peer.override(app, name, status, True))
+        held.status_override, held.updated, held.action = status, self.epoch(), "MODIFIED"
+        self._schedule_publish(held)
+        self._replicate(replicated, lambda peer: peer.set_status_override(app, name, status, True))
         return True
 
     def cancel(self, app: str, name: str, replicated: bool = False) -> bool:
-        """DELETE: the lease ends."""
+        """DELETE: end a lease.  False (404) if there is none."""
         held = self.leases.pop((app, name), None)
         if held is None:
             return False
         held.updated, held.action = self.epoch(), "DELETED"
-        self._show(held)
+        self._schedule_publish(held)
         self._replicate(replicated, lambda peer: peer.cancel(app, name, True))
         return True
 
-    def evict(self) -> int:
-        """End the leases that are over; none where that is most of them."""
+    def evict_expired(self) -> int:
+        """End the expired leases and return how many; none if more have expired than the threshold allows."""
         now = self.epoch()
-        over = [key for key, r in self.leases.items() if now - r.renewed > 1000 * r.duration]
-        if len(over) > (1 - PRESERVED) * len(self.leases) + 1:
+        expired = [key for key, lease in self.leases.items() if now - lease.renewed > 1000 * lease.duration]
+        if len(expired) > (1 - RENEWAL_THRESHOLD) * len(self.leases) + 1:
             return 0
-        for key in over:
+        for key in expired:
             self.cancel(*key, replicated=True)
-        self.evictions += len(over)
-        return len(over)
+        self.eviction_count += len(expired)
+        return len(expired)
 
     def restart(self) -> None:
-        """Back with an empty table."""
+        """Start again with an empty table."""
         self.leases.clear()
-        self.shown.clear()
+        self.published.clear()
         self.recent.clear()
-        self.version, self.stamp = 1, self.stamp + 1
+        self.version, self.revision = 1, self.revision + 1
 
-    # -- what is shown of it -------------------------------------------------------------------------------
+    # -- replication and the response cache ----------------------------------------------------------------
 
-    def _replicate(self, replicated: bool, what: Callable[[Table], object]) -> None:
+    def _replicate(self, replicated: bool, change: Callable[[Table], object]) -> None:
+        """Apply a change to the other peers, unless it came from one of them."""
         for peer in [] if replicated else self.peers:
-            self.loop.call_later(self.replication, what, peer)
+            self.loop.call_later(self.replication_delay, change, peer)
 
-    def _show(self, record: Record) -> None:
-        picture = copy(record)
+    def _schedule_publish(self, record: Record) -> None:
+        snapshot = copy(record)
         if self.lag:
-            self.loop.call_later(self.lag, self._shown, picture)
+            self.loop.call_later(self.lag, self._publish, snapshot)
         else:
-            self._shown(picture)
+            self._publish(snapshot)
 
-    def _shown(self, record: Record) -> None:
+    def _publish(self, record: Record) -> None:
         key = (record.app, record.id)
         if record.action == "DELETED":
-            if self.keeps_gone:
+            if self.hides_removals:
                 return
-            self.shown.pop(key, None)
+            self.published.pop(key, None)
         else:
-            self.shown[key] = record
+            self.published[key] = record
         self.recent.append((self.loop.time(), record))
         self.version += 1
-        self.stamp += 1
+        self.revision += 1
 
-    def changed(self) -> list[Record]:
-        """What the delta holds: the last word on each instance that changed of late."""
-        while self.recent and self.recent[0][0] < self.loop.time() - self.retention:
+    def delta(self) -> list[Record]:
+        """Return the delta: the latest change of each instance that changed within the retention time."""
+        while self.recent and self.recent[0][0] < self.loop.time() - self.delta_retention:
             self.recent.popleft()
-        last = {(r.app, r.id): r for _, r in self.recent}
-        return list(last.values())
+        latest = {(record.app, record.id): record for _, record in self.recent}
+        return list(latest.values())
 
 
 def hash_of(records: list[Record]) -> str:
-    """`apps__hashcode` of what is shown."""
+    """Return `apps__hashcode`: the number of instances by status."""
     counts: dict[str, int] = {}
     for record in records:
         counts[record.shown] = counts.get(record.shown, 0) + 1
--- a/eiderstep/standin/eureka_wire.py
+++ b/eiderstep/standin/eureka_wire.py
@@ -1,4 +1,4 @@
-"""A Eureka registry on a socket: the REST API over `eureka.Table`, and scripted lies."""
+"""The HTTP server of a Eureka peer: the REST API over `eureka.Table`, with faults that a script injects."""
 
 from __future__ import annotations
 
@@ -17,41 +17,41 @@
 from eiderstep.standin.eureka import Record, Table, hash_of, render
 
 LIES = {
-    "lists_gone": "departures are never shown",
-    "drops_living": "the victims are left out of every answer",
-    "goes_back": "every other answer is the one of when the lie began, with its version",
-    "wrong_hash": "a hash that never fits",
-    "half_answer": "the connection ends in the middle of the body",
-    "html": "200 with a page of HTML",
-    "html_as_json": "the same, called JSON",
-    "drip": "a few bytes at a time",
-    "silence": "no answer at all",
+    "lists_gone": "removed instances stay in the responses",
+    "drops_living": "the affected instances are left out of every response",
+    "goes_back": "every other response has the list and version of when the fault began",
+    "wrong_hash": "apps__hashcode never matches the list",
+    "half_answer": "the connection is closed in the middle of the body",
+    "html": "200 with an HTML page",
+    "html_as_json": "200 with an HTML page labelled as JSON",
+    "drip": "responses are sent a few bytes at a time",
+    "silence": "requests are not answered",
     "refuse": "connections are reset",
-    "storm": "503 to everything",
-    "empty": "a list of nothing",
+    "storm": "503 to every request",
+    "empty": "an empty list",
     "restart": "a restart with an empty table",
-    "unnamed": "the victims' metadata are malformed",
+    "unnamed": "the metadata of the affected instances are malformed",
 }
 HTML = b"<!DOCTYPE html><html><body><h1>It works</h1></body></html>\n"
-DRIP = 16  # bytes
+DRIP_BYTES = 16
 DRIP_GAP = 0.2  # seconds
 
 
-class _Client(asyncio.Protocol):
+class _Connection(asyncio.Protocol):
     def __init__(self, server: Eureka) -> None:
         self.server = server
         self.transport: Any = None
-        self.dripping: asyncio.TimerHandle | None = None
-        self._fresh()
+        self.drip_timer: asyncio.TimerHandle | None = None
+        self._reset_parser()
 
-    def _fresh(self) -> None:
+    def _reset_parser(self) -> None:
         self.parser = httptools.HttpRequestParser(self)
         self.url, self.body, self.headers = b"", b"", {}  # type: ignore[var-annotated]
 
     def connection_made(self, transport: Any) -> None:
         self.transport = transport
-        self.server.clients.append(self)
-        if self.server.lie == "refuse":
+        self.server.connections.append(self)
+        if self.server.fault == "refuse":
             transport.abort()
 
     def data_received(self, data: bytes) -> None:
@@ -73,137 +73,144 @@
         method = self.parser.get_method().decode()
         url, body, headers = self.url.decode(), self.body, self.headers
         self.url, self.body, self.headers = b"", b"", {}
-        self.server.asked(self, method, url, headers, body)
+        self.server.handle_request(self, method, url, headers, body)
 
-    def answer(self, status: int, body: bytes = b"", kind: str = "application/json", **more: str) -> None:
+    def respond(
+        self, status: int, body: bytes = b"", content_type: str = "application/json", **extra_headers: str
+    ) -> None:
         server = self.server
         head = [f"HTTP/1.1 {status} {'OK' if status < 300 else 'No'}", f"Content-Length: {len(body)}"]
         head.append(f"Date: {formatdate(server.table.epoch() / 1000, usegmt=True)}")
         if body:
-            head.append(f"Content-Type: {kind}")
-        head += [f"{name.replace('_', '-')}: {value}" for name, value in more.items()]
+            head.append(f"Content-Type: {content_type}")
+        head += [f"{name.replace('_', '-')}: {value}" for name, value in extra_headers.items()]
         data = "\r\n".join(head).encode() + b"\r\n\r\n" + body
-        server.bytes += len(data)
-        if server.lie == "half_answer" and body:
+        server.sent_bytes += len(data)
+        if server.fault == "half_answer" and body:
             self.transport.write(data[: len(data) - len(body) // 2])
             self.transport.close()
-        elif server.lie == "drip":
+        elif server.fault == "drip":
             self._drip(data)
         elif not self.transport.is_closing():
             self.transport.write(data)
 
     def _drip(self, data: bytes) -> None:
         if data and not self.transport.is_closing():
-            self.transport.write(data[:DRIP])
-            self.dripping = self.server.loop.call_later(DRIP_GAP, self._drip, data[DRIP:])
+            self.transport.write(data[:DRIP_BYTES])
+            self.drip_timer = self.server.loop.call_later(DRIP_GAP, self._drip, data[DRIP_BYTES:])
 
     def connection_lost(self, exc: Exception | None) -> None:
-        if self.dripping is not None:
-            self.dripping.cancel()
-        if self in self.server.clients:
-            self.server.clients.remove(self)
+        if self.drip_timer is not None:
+            self.drip_timer.cancel()
+        if self in self.server.connections:
+            self.server.connections.remove(self)
 
 
 class Eureka:
-    """One registry on one socket.  `lie` is one of LIES or empty; `victims` are ids."""
+    """One registry peer on one listening socket.
+
+    `fault` is a key of LIES or empty; `affected_ids` are the ids of the instances that the fault concerns.
+    """
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, table: Table, path: str = "/eureka", etags: bool = True
     ) -> None:
         self.loop, self.table, self.path, self.etags = loop, table, path, etags
-        self.lie = ""
-        self.victims: frozenset[str] = frozenset()
-        self.frozen: tuple[list[Record], int] | None = None
-        self.clients: list[_Client] = []
+        self.fault = ""
+        self.affected_ids: frozenset[str] = frozenset()
+        self.frozen_view: tuple[list[Record], int] | None = None
+        self.connections: list[_Connection] = []
         self.requests: list[tuple[float, str, str]] = []
-        self.bytes = 0
-        self.turn = 0
-        self.packed: dict[tuple[Any, ...], bytes] = {}
+        self.sent_bytes = 0
+        self.view_count = 0
+        self.body_cache: dict[tuple[Any, ...], bytes] = {}
         self.server: Any = None
         self.address = ""
         self.closed = False
 
     async def listen(self, context: ssl.SSLContext | None = None, sweep: float = 0.0) -> str:
-        """`sweep`: evict so often (s), 0 for never."""
-        extra: dict[str, Any] = {"ssl": context} if context is not None else {}
-        self.server = await self.loop.create_server(lambda: _Client(self), "127.0.0.1", 0, **extra)
-        name = self.server.sockets[0].getsockname()
-        self.address = f"{name[0]}:{name[1]}"
+        """Listen and return the address.  `sweep`: seconds between evictions of expired leases, 0: none."""
+        options: dict[str, Any] = {"ssl": context} if context is not None else {}
+        self.server = await self.loop.create_server(lambda: _Connection(self), "127.0.0.1", 0, **options)
+        bound = self.server.sockets[0].getsockname()
+        self.address = f"{bound[0]}:{bound[1]}"
         if sweep:
-            self._sweep(sweep)
+            self._evict_periodically(sweep)
         return self.address
 
-    def _sweep(self, gap: float) -> None:
+    def _evict_periodically(self, interval: float) -> None:
         if not self.closed:
-            self.table.evict()
-            self.loop.call_later(gap, self._sweep, gap)
-
-    def tell_lies(self, lie: str, victims: frozenset[str] = frozenset()) -> None:
-        """Begin a lie, or end it with an empty one."""
-        if lie and lie not in LIES:
-            raise ValueError(f"lie {lie!r}; allowed: {', '.join(LIES)}")
-        self.lie, self.victims = lie, victims
-        self.table.keeps_gone = lie == "lists_gone"
-        self.frozen = ([copy(r) for r in self.table.shown.values()], self.table.version)
-        if lie == "restart":
+            self.table.evict_expired()
+            self.loop.call_later(interval, self._evict_periodically, interval)
+
+    def tell_lies(self, fault: str, affected_ids: frozenset[str] = frozenset()) -> None:
+        """Begin a fault, or end the present one if `fault` is empty.  Raises ValueError if it is unknown."""
+        if fault and fault not in LIES:
+            raise ValueError(f"lie {fault!r}; allowed: {', '.join(LIES)}")
+        self.fault, self.affected_ids = fault, affected_ids
+        self.table.hides_removals = fault == "lists_gone"
+        self.frozen_view = ([copy(record) for record in self.table.published.values()], self.table.version)
+        if fault == "restart":
             self.table.restart()
-            self.lie = ""
-            self.drop_all()
-        elif lie == "refuse":
-            self.drop_all()
+            self.fault = ""
+            self.reset_connections()
+        elif fault == "refuse":
+            self.reset_connections()
 
-    def drop_all(self) -> None:
-        for client in list(self.clients):
-            client.transport.abort()
+    def reset_connections(self) -> None:
+        for connection in list(self.connections):
+            connection.transport.abort()
 
     # -- requests ------------------------------------------------------------------------------------------
 
-    def asked(self, client: _Client, method: str, url: str, headers: dict[str, str], body: bytes) -> None:
+    def handle_request(
+        self, connection: _Connection, method: str, url: str, headers: dict[str, str], body: bytes
+    ) -> None:
         self.requests.append((self.loop.time(), method, url))
-        if self.lie == "silence":
+        if self.fault == "silence":
             return
-        if self.lie == "storm":
-            client.answer(503)
+        if self.fault == "storm":
+            connection.respond(503)
             return
-        if self.lie in ("html", "html_as_json"):
-            client.answer(200, HTML, "text/html" if self.lie == "html" else "application/json")
+        if self.fault in ("html", "html_as_json"):
+            connection.respond(200, HTML, "text/html" if self.fault == "html" else "application/json")
             return
         path, _, query = url.partition("?")
         parts = [unquote(p) for p in path.removeprefix(self.path).strip("/").split("/")]
         args = {name: values[0] for name, values in parse_qs(query).items()}
         if not path.startswith(self.path):
-            client.answer(404)
+            connection.respond(404)
         elif method == "GET":
-            self._get(client, parts, headers)
+            self._handle_get(connection, parts, headers)
         else:
-            client.answer(self._change(method, parts, args, body))
+            connection.respond(self._apply_change(method, parts, args, body))
 
-    def _change(self, method: str, parts: list[str], args: dict[str, str], body: bytes) -> int:
+    def _apply_change(self, method: str, parts: list[str], args: dict[str, str], body: bytes) -> int:
         table = self.table
         if method == "POST" and parts[0] == "apps" and len(parts) == 2:
             try:
-                table.register(self._record(body, parts[1]))
+                table.register(self._decode_record(body, parts[1]))
             except (KeyError, TypeError, ValueError, msgspec.MsgspecError):
                 return 400
             return 204
         if parts[0] != "apps" or len(parts) < 3:
             return 405
         app, name = parts[1].upper(), parts[2]
-        what: Callable[[], bool]
+        change: Callable[[], bool]
         if parts[3:] == ["status"]:
             status = args.get("value", "") if method == "PUT" else ""
-            what = lambda: table.override(app, name, status)  # noqa: E731
+            change = lambda: table.set_status_override(app, name, status)  # noqa: E731
         elif parts[3:] == ["metadata"] and method == "PUT":
-            what = lambda: self._metadata(app, name, args)  # noqa: E731
+            change = lambda: self._update_metadata(app, name, args)  # noqa: E731
         elif method == "PUT" and len(parts) == 3:
-            what = lambda: table.renew(app, name)  # noqa: E731
+            change = lambda: table.renew(app, name)  # noqa: E731
         elif method == "DELETE" and len(parts) == 3:
-            what = lambda: table.cancel(app, name)  # noqa: E731
+            change = lambda: table.cancel(app, name)  # noqa: E731
         else:
             return 405
-        return 200 if what() else 404
+        return 200 if change() else 404
 
-    def _metadata(self, app: str, name: str, args: dict[str, str]) -> bool:
+    def _update_metadata(self, app: str, name: str, args: dict[str, str]) -> bool:
         held = self.table.leases.get((app, name))
         if held is None:
             return False
@@ -212,96 +219,101 @@
         self.table.register(changed)
         return True
 
-    def _record(self, body: bytes, app: str) -> Record:
-        told = msgspec.json.decode(body, type=dict[str, Any])["instance"]
-        lease = told.get("leaseInfo", {})
-        if str(told["app"]).upper() != app.upper():
-            raise ValueError("another app than the path's")
+    def _decode_record(self, body: bytes, app: str) -> Record:
+        instance = msgspec.json.decode(body, type=dict[str, Any])["instance"]
+        lease = instance.get("leaseInfo", {})
+        if str(instance["app"]).upper() != app.upper():
+            raise ValueError("app of the instance differs from the app in the path")
         return Record(
-            app.upper(), str(told["instanceId"]), str(told["ipAddr"]), int(told["port"]["$"]),
-            {str(k): str(v) for k, v in told.get("metadata", {}).items()}, str(told["status"]),
-            vip=str(told.get("vipAddress", "")), dirty=int(told["lastDirtyTimestamp"]),
+            app.upper(), str(instance["instanceId"]), str(instance["ipAddr"]), int(instance["port"]["$"]),
+            {str(k): str(v) for k, v in instance.get("metadata", {}).items()}, str(instance["status"]),
+            vip=str(instance.get("vipAddress", "")), dirty=int(instance["lastDirtyTimestamp"]),
             renew=int(lease.get("renewalIntervalInSecs", 30)), duration=int(lease.get("durationInSecs", 90)),
         )  # fmt: skip
 
-    # -- lists ---------------------------------------------------------------------------------------------
+    # -- lists and deltas ----------------------------------------------------------------------------------
 
-    def _picture(self) -> tuple[list[Record], list[Record], int, str]:
-        """What is shown now: the list, the delta, version and hash, as the lie has them."""
+    def _current_view(self) -> tuple[list[Record], list[Record], int, str]:
+        """Return the list, the delta, the version and the hash to respond with, as changed by the fault."""
         table = self.table
-        shown, delta, version = list(table.shown.values()), table.changed(), table.version
-        self.turn += 1
-        if self.lie == "goes_back" and self.frozen is not None and self.turn % 2:
-            shown, version = self.frozen
-            delta = shown
-        elif self.lie == "empty":
-            shown, delta = [], []
-        elif self.lie == "drops_living":
-            shown = [r for r in shown if r.id not in self.victims]
-            delta = [r for r in delta if r.id not in self.victims]
-            for one in self.victims:
-                gone = next((r for r in table.shown.values() if r.id == one), None)
-                if gone is not None:
-                    mark = copy(gone)
-                    mark.action = "DELETED"
-                    delta.append(mark)
-        elif self.lie == "unnamed":
-            for records in (shown, delta):
-                for i, r in enumerate(records):
-                    if r.id in self.victims:
-                        records[i] = copy(r)
+        listed, delta, version = list(table.published.values()), table.delta(), table.version
+        self.view_count += 1
+        if self.fault == "goes_back" and self.frozen_view is not None and self.view_count % 2:
+            listed, version = self.frozen_view
+            delta = listed
+        elif self.fault == "empty":
+            listed, delta = [], []
+        elif self.fault == "drops_living":
+            listed = [record for record in listed if record.id not in self.affected_ids]
+            delta = [record for record in delta if record.id not in self.affected_ids]
+            for instance_id in self.affected_ids:
+                dropped = next((r for r in table.published.values() if r.id == instance_id), None)
+                if dropped is not None:
+                    tombstone = copy(dropped)
+                    tombstone.action = "DELETED"
+                    delta.append(tombstone)
+        elif self.fault == "unnamed":
+            for records in (listed, delta):
+                for i, record in enumerate(records):
+                    if record.id in self.affected_ids:
+                        records[i] = copy(record)
                         records[i].metadata = {"exchange": "sixty-one", "district": "", "started": "now"}
-        return shown, delta, version, "WRONG_1_" if self.lie == "wrong_hash" else hash_of(shown)
+        return listed, delta, version, "WRONG_1_" if self.fault == "wrong_hash" else hash_of(listed)
 
-    def _get(self, client: _Client, parts: list[str], headers: dict[str, str]) -> None:
+    def _handle_get(self, connection: _Connection, parts: list[str], headers: dict[str, str]) -> None:
         form = "xml" if "xml" in headers.get("accept", "") else "json"
-        pack = "gzip" in headers.get("accept-encoding", "")
-        shown, delta, version, hashcode = self._picture()
-        root, records = "applications", shown
+        compress = "gzip" in headers.get("accept-encoding", "")
+        listed, delta, version, hashcode = self._current_view()
+        root, records = "applications", listed
         if parts == ["apps", "delta"]:
             records = delta
         elif parts[0] == "apps" and len(parts) == 2:
-            records, root = [r for r in shown if r.app == parts[1].upper()], "application"
+            records, root = [r for r in listed if r.app == parts[1].upper()], "application"
         elif (parts[0] == "apps" and len(parts) == 3) or (parts[0] == "instances" and len(parts) == 2):
-            records, root = [r for r in shown if r.id == parts[-1]], "instance"
+            records, root = [r for r in listed if r.id == parts[-1]], "instance"
         elif parts[0] in ("vips", "svips") and len(parts) == 2:
-            records = [r for r in shown if (r.vip or r.app.lower()) == parts[1]]
+            records = [r for r in listed if (r.vip or r.app.lower()) == parts[1]]
             hashcode = hash_of(records)
         elif parts != ["apps"]:
-            client.answer(404)
+            connection.respond(404)
             return
         if root != "applications" and not records:
-            client.answer(404)
+            connection.respond(404)
             return
-        self.send(client, "/".join(parts), records, (form, pack, version, hashcode, root), headers)
+        self.send_list(
+            connection, "/".join(parts), records, (form, compress, version, hashcode, root), headers
+        )
 
-    def send(
-        self, client: _Client, what: str, records: list[Record], shape: tuple[str, bool, int, str, str],
-        headers: dict[str, str],
+    def send_list(
+        self, connection: _Connection, path: str, records: list[Record],
+        shape: tuple[str, bool, int, str, str], headers: dict[str, str],
     ) -> None:  # fmt: skip
-        """An answer, made once for all who ask for the same."""
-        form, pack, version, hashcode, root = shape
-        tag = f'"{what}-{self.table.stamp}-{version}-{hashcode}-{len(records)}"'
-        if self.etags and not self.lie and headers.get("if-none-match") == tag:
-            client.answer(304, ETag=tag)
+        """Respond with a list; bodies are cached, so that equal requests are rendered once.
+
+        `shape`: form, whether to compress, version, hash and root element.
+        """
+        form, compress, version, hashcode, root = shape
+        tag = f'"{path}-{self.table.revision}-{version}-{hashcode}-{len(records)}"'
+        if self.etags and not self.fault and headers.get("if-none-match") == tag:
+            connection.respond(304, ETag=tag)
             return
-        key = (tag, shape) if not self.lie else None
-        body = self.packed.get(key) if key is not None else None
+        key = (tag, shape) if not self.fault else None
+        body = self.body_cache.get(key) if key is not None else None
         if body is None:
             body = render(records, form, version, hashcode, root)
-            if pack:
+            if compress:
                 body = gzip.compress(body, 6, mtime=0)
             if key is not None:
-                if len(self.packed) > 16:
-                    self.packed.clear()
-                self.packed[key] = body
-        more = {"Content_Encoding": "gzip"} if pack else {}
-        if self.etags and not self.lie:
-            more["ETag"] = tag
-        client.answer(200, body, f"application/{form}", **more)
+                if len(self.body_cache) > 16:
+                    self.body_cache.clear()
+                self.body_cache[key] = body
+        extra_headers = {"Content_Encoding": "gzip"} if compress else {}
+        if self.etags and not self.fault:
+            extra_headers["ETag"] = tag
+        connection.respond(200, body, f"application/{form}", **extra_headers)
 
     def close(self) -> None:
         self.closed = True
         if self.server is not None:
             self.server.close()
-        self.drop_all()
+        self.reset_connections()
--- a/eiderstep/standin/exchange.py
+++ b/eiderstep/standin/exchange.py
@@ -1,8 +1,8 @@
-"""An exchange: a one-line processor, numbered circuits shared with its neighbours, lines of its own.
+"""A simulated exchange: a processor with one queue, trunk groups to its neighbours, and subscriber lines.
 
-The processor takes work in order: looking at a set-up, answering, releasing.  Set-ups that would wait past a
-limit are turned away, which is work too.  After a start it can do part of its work and warms up; pushed over
-its limit while cold it falls over and stays down.  `Faults` are what a script changes while it runs.
+The processor works off set-ups and releases one at a time.  A set-up that would wait longer than a limit is
+refused, which costs work too.  After a start the processor has part of its capacity and warms up; if it gets
+more set-ups than it can take while cold, it crashes and stays down.  A script changes `Faults` at run time.
 """
 
 from __future__ import annotations
@@ -19,94 +19,100 @@
 from eiderstep.sip.message import Message, request, response, uri_parts
 from eiderstep.sip.transaction import Kind, State, Transaction
 from eiderstep.standin.element import Element
-from eiderstep.standin.processor import Making, Processor, Work
+from eiderstep.standin.processor import Making, Processor, WorkItem
 
-TORN = 0.4  # seconds
+SPLIT_ANSWER_DELAY = 0.4  # seconds between the two halves of an answer
 
 
 @dataclass(frozen=True)
 class Plant:
-    """How an exchange is built.  Times in seconds."""
+    """The configuration of a simulated exchange.  Times in seconds."""
 
     number: int
-    circuits: dict[int, int]  # by neighbour
-    numbers: dict[str, int]  # prefix to exchange, one digit group each
+    circuits: dict[int, int]  # size of the trunk group by neighbour
+    numbers: dict[str, int]  # dial plan: exchange by number prefix
     context: str = "standin"
     capacity: float = 60.0  # set-ups a second when warm
-    refuse_past: float = 2.0  # wait from which set-ups are turned away
-    names_wait: bool = False
-    report: str = "rate"  # "rate" (with the queue), "loss" or "none"
-    refresh: float = 0.3  # age of a report
+    refuse_past: float = 2.0  # set-ups that would wait longer are refused
+    names_wait: bool = False  # refusals contain Retry-After
+    report: str = "rate"  # load reports: "rate" (with the queue length), "loss" or "none"
+    refresh: float = 0.3  # interval at which load reports are renewed
     cold_share: float = 0.3
     cold_time: float = 0.0
     warm_up: str = "linear"
     answers_first: bool = False  # answers and releases go before set-ups that wait
-    releases_wait: bool = False  # a release is done, and its circuits free, only when its turn comes
-    drops_cancelled: bool = False  # a set-up called off while it waits costs no work
-    fall_multiple: float = 0.0  # 0: it cannot be pushed over
-    fall_window: float = 2.0
+    releases_wait: bool = False  # a release takes effect when its work is done, not when the BYE arrives
+    drops_cancelled: bool = False  # a set-up cancelled while it waits costs no work
+    fall_multiple: float = 0.0  # crashes while cold above this multiple of its capacity; 0: never
+    fall_window: float = 2.0  # set-ups are counted over this time
     release_work: float = 0.15  # of a set-up's work
-    busy_lines: float = 0.0  # share of calls to a number that is busy
+    busy_lines: float = 0.0  # share of calls that find the subscriber busy
 
 
 @dataclass
 class Faults:
-    """What is wrong with it at the moment."""
+    """The faults injected at the moment."""
 
-    mute: bool = False  # not even a 100
-    lose_answers: float = 0.0  # share of final answers that are never sent
-    tear: float = 0.0  # share of final answers whose second half comes `TORN` seconds later
-    report_late: float = 0.0  # seconds that reports are older than they say
-    refuse_all: int = 0  # a status that every set-up gets at once
-    hot: dict[str, int] = field(default_factory=dict)  # numbers with so few lines
+    mute: bool = False  # set-ups get no response, not even a 100
+    lose_answers: float = 0.0  # share of final responses that are not sent
+    tear: float = 0.0  # share of final responses with the second half `SPLIT_ANSWER_DELAY` later
+    report_late: float = 0.0  # seconds that load reports are older than they should be
+    refuse_status: int = 0  # status that every set-up gets at once; 0: none
+    hot: dict[str, int] = field(default_factory=dict)  # lines of numbers that have only a few
 
 
-class Trunks:
-    """The numbered circuits toward one neighbour, as this end sees them."""
+class TrunkGroup:
+    """The numbered circuits to one neighbour, as this end sees them.  `busy`: leg by circuit."""
 
     def __init__(self, size: int, own: int, neighbour: int) -> None:
         self.size, self.blocked = size, set[int]()
         self.busy: dict[int, object] = {}
-        self.below: dict[int, list[object]] = {}  # holders that yielded, until they are done themselves
-        self.even = own > neighbour  # ITU-T Q.764, 2.9.1.4
+        self.displaced: dict[
+            int, list[object]
+        ] = {}  # legs whose circuit the far end took over, until they end
+        self.controls_even = own > neighbour  # ITU-T Q.764, 2.9.1.4: the higher code controls even circuits
         self.resize(size)
 
     def resize(self, size: int) -> None:
-        """That many circuits from now on; calls on others keep theirs until they end."""
-        self.size, even = size, self.even
-        self.order = sorted(
+        """Change the number of circuits; calls on removed circuits keep them until they end."""
+        self.size, even = size, self.controls_even
+        self.seizure_order = sorted(
             range(size), key=lambda c: ((c % 2 == 0) != even, c if (c % 2 == 0) == even else -c)
         )
 
     def controls(self, circuit: int) -> bool:
-        return (circuit % 2 == 0) == self.even
+        """Whether this end keeps the circuit at glare."""
+        return (circuit % 2 == 0) == self.controls_even
 
     def seize(self, width: int, owner: object) -> tuple[int, ...]:
-        free = [c for c in self.order if c not in self.busy and c not in self.blocked][:width]
+        """Seize `width` free circuits and return them, or none if there are too few."""
+        free = [c for c in self.seizure_order if c not in self.busy and c not in self.blocked][:width]
         if len(free) < width:
             return ()
         for circuit in free:
             self.busy[circuit] = owner
         return tuple(free)
 
-    def take(self, circuit: int, owner: object) -> None:
+    def assign(self, circuit: int, owner: object) -> None:
+        """Give a circuit to a leg that the far end seized it for, even if it is busy."""
         if circuit in self.busy:
-            self.below.setdefault(circuit, []).append(self.busy[circuit])
+            self.displaced.setdefault(circuit, []).append(self.busy[circuit])
         self.busy[circuit] = owner
 
-    def give_back(self, owner: object) -> None:
-        for held in self.below.values():
-            if owner in held:
-                held.remove(owner)
+    def release(self, owner: object) -> None:
+        """Free the circuits of a leg; a circuit goes back to the leg displaced last, if there is one."""
+        for owners in self.displaced.values():
+            if owner in owners:
+                owners.remove(owner)
         for circuit in [c for c, holder in self.busy.items() if holder is owner]:
             del self.busy[circuit]
-            if self.below.get(circuit):
-                self.busy[circuit] = self.below[circuit].pop()
+            if self.displaced.get(circuit):
+                self.busy[circuit] = self.displaced[circuit].pop()
 
 
 @dataclass(eq=False)
-class Leg:
-    """A call through or into this exchange."""
+class InboundLeg:
+    """The incoming leg of a call through or into this exchange."""
 
     tx: Transaction
     invite: Message
@@ -114,383 +120,407 @@
     neighbour: int
     circuits: tuple[int, ...]
     dialog: Dialog | None = None
-    onward: Onward | None = None
+    outbound: OutboundLeg | None = None
     state: str = "asked"  # "asked", "standing", "releasing", "over"
-    unheard: bool = False  # its answer was lost: the far end knows of none
-    work: Work | None = None
-    number: str = ""  # called, where its lines are few
+    answer_lost: bool = False  # an injected fault kept the final response from being sent
+    work: WorkItem | None = None
+    limited_number: str = ""  # the called number, if it has only a few lines and one is taken
 
 
 @dataclass(eq=False)
-class Onward:
-    """The set-up that a transit call, or a call of our own, is sent on as."""
+class OutboundLeg:
+    """The outgoing leg of a transit call (`inbound` set) or of a call of this exchange's own subscribers."""
 
-    leg: Leg | None
+    inbound: InboundLeg | None
     neighbour: int
     invite: Message | None = None
     tx: Transaction | None = None
     dialog: Dialog | None = None
     state: str = "out"  # "out", "standing", "over"
-    unwanted: bool = False
-    cancelled: bool = False
-    hold: float = 0.0
-    done: Callable[[str], None] | None = None
+    abandoned: bool = False
+    cancel_sent: bool = False
+    holding_time: float = 0.0
+    on_end: Callable[[str], None] | None = None
 
 
 @dataclass
-class Tally:
-    """What happened at it."""
+class Counters:
+    """Counters of one exchange.  `circuit_faults` lists seizures of circuits that are busy at this end."""
 
     set_ups: int = 0
-    stood: int = 0
+    answered: int = 0
     refused: int = 0
     circuit_faults: list[str] = field(default_factory=list)
     fell: bool = False
-    own_tried: int = 0
-    own_stood: int = 0
+    own_attempts: int = 0
+    own_answered: int = 0
 
 
 class Exchange(Element):
-    """One running processor of an exchange.  A restart makes a new one with the same plant."""
+    """One run of an exchange; a restart makes a new object with the same `Plant`."""
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, plant: Plant, rng: Random, started: float | None
     ) -> None:
         super().__init__(loop, f"x{plant.number}", rng)
         self.plant, self.started = plant, started
-        self.faults, self.tally = Faults(), Tally()
+        self.faults, self.tally = Faults(), Counters()
         self.neighbours: dict[int, str] = {}
-        self.trunks = {n: Trunks(size, plant.number, n) for n, size in plant.circuits.items()}
-        self.legs: dict[tuple[str, str], Leg] = {}
-        self.legs_out: dict[tuple[str, str], Onward] = {}
-        self.invites: dict[str, Leg] = {}  # by branch of the INVITE, for a CANCEL
-        making = Making(plant.capacity, plant.cold_share, plant.cold_time, plant.warm_up, plant.answers_first)
-        self.processor = Processor(making, loop.time, self.later, started)
-        self.reports: deque[tuple[float, fields.Load]] = deque()  # when they were made; the first is told
-        self.shown_at = -1e9
-        self.calls_to: dict[str, int] = {}  # calls that stand to a number whose lines are few
-        self.recent: deque[float] = deque()
+        self.trunks = {n: TrunkGroup(size, plant.number, n) for n, size in plant.circuits.items()}
+        self.legs: dict[tuple[str, str], InboundLeg] = {}  # by Call-ID and local tag
+        self.legs_out: dict[tuple[str, str], OutboundLeg] = {}  # by Call-ID and local tag
+        self.legs_by_branch: dict[str, InboundLeg] = {}  # by branch of the INVITE, to match a CANCEL
+        config = Making(plant.capacity, plant.cold_share, plant.cold_time, plant.warm_up, plant.answers_first)
+        self.processor = Processor(config, loop.time, self.call_later, started)
+        self.reports: deque[tuple[float, fields.Load]] = deque()  # with their times; the first one is sent
+        self.last_report_at = -1e9  # seconds
+        self.calls_by_number: dict[str, int] = {}  # standing calls to each number with only a few lines
+        self.recent_set_ups: deque[float] = deque()
         self.draining = False
 
     # -- the processor -------------------------------------------------------------------------------------
 
     def wake(self) -> None:
-        """After a hang: what was queued is worked on."""
+        """End a hang: the processor goes on with its queue."""
         self.faults.mute = self.processor.hung = False
         self.processor.next()
 
-    def load(self) -> fields.Load:
-        """The report of its processor, refreshed now and then as real ones are."""
+    def load_report(self) -> fields.Load:
+        """Return the load report to send, renewed only once per `refresh` as in real exchanges."""
         now, processor = self.loop.time(), self.processor
-        if now - self.shown_at >= self.plant.refresh:
-            self.shown_at, shown = now, fields.Load()
+        if now - self.last_report_at >= self.plant.refresh:
+            self.last_report_at, report = now, fields.Load()
             if self.plant.report == "rate":
                 rate = round(processor.capacity(), 3)
-                shown = fields.Load(rate=rate, waiting=float(processor.set_ups()))
+                report = fields.Load(rate=rate, waiting=float(processor.set_ups()))
             elif self.plant.report == "loss":
                 excess = processor.wait() / self.plant.refuse_past
-                shown = fields.Load(reduce=round(min(max(excess - 0.25, 0.0), 0.95), 2))
-            self.reports.append((now, shown))
+                report = fields.Load(reduce=round(min(max(excess - 0.25, 0.0), 0.95), 2))
+            self.reports.append((now, report))
         while len(self.reports) > 1 and self.reports[1][0] <= now - self.faults.report_late:
             self.reports.popleft()
         return self.reports[0][1]
 
-    def _pushed_over(self) -> bool:
-        """Whether all that was sent to it while cold is more than it can stand."""
+    def _overloaded_while_cold(self) -> bool:
+        """Whether the set-ups within `fall_window` while cold are more than the exchange survives."""
         plant, now = self.plant, self.loop.time()
         if not plant.fall_multiple or self.started is None or now - self.started > plant.cold_time:
             return False
-        self.recent.append(now)
-        while self.recent[0] < now - plant.fall_window:
-            self.recent.popleft()
-        return len(self.recent) > plant.fall_multiple * self.processor.capacity() * plant.fall_window + 3
+        self.recent_set_ups.append(now)
+        while self.recent_set_ups[0] < now - plant.fall_window:
+            self.recent_set_ups.popleft()
+        return (
+            len(self.recent_set_ups) > plant.fall_multiple * self.processor.capacity() * plant.fall_window + 3
+        )
 
     # -- requests ------------------------------------------------------------------------------------------
 
     def on_request(self, tx: Transaction, message: Message) -> None:
         if message.method == "INVITE":
-            self._invite(tx, message)
+            self._handle_invite(tx, message)
         elif message.method == "CANCEL":
             self.transactions.respond(self.now(), tx, response(message, 200))
-            leg = self.invites.get(message.branch)
-            if leg is not None and (leg.state == "asked" or leg.unheard):
+            leg = self.legs_by_branch.get(message.branch)
+            if leg is not None and (leg.state == "asked" or leg.answer_lost):
                 if self.plant.drops_cancelled and leg.work is not None:
                     self.processor.drop(leg.work)
-                self._answer(leg, response(leg.invite, 487, leg.tag))
-                if leg.onward is not None:
-                    self._drop(leg.onward)
+                self._send_final(leg, response(leg.invite, 487, leg.tag))
+                if leg.outbound is not None:
+                    self._drop(leg.outbound)
         elif message.method == "BYE":
-            self._bye(tx, message)
+            self._handle_bye(tx, message)
         elif message.method == "OPTIONS":
-            self.processor.work(0.05, lambda: self._say(tx, response(message, 200, self.new_id())))
+            self.processor.work(
+                0.05, lambda: self._respond_with_load(tx, response(message, 200, self.new_id()))
+            )
         else:
             self.transactions.respond(self.now(), tx, response(message, 405, self.new_id()))
 
-    def _say(self, tx: Transaction, answer: Message) -> None:
-        fields.add_load(answer, self.load())
+    def _respond_with_load(self, tx: Transaction, answer: Message) -> None:
+        fields.add_load(answer, self.load_report())
         self.transactions.respond(self.now(), tx, answer)
         self.pump()
 
-    def _invite(self, tx: Transaction, message: Message) -> None:
+    def _handle_invite(self, tx: Transaction, message: Message) -> None:
         self.tally.set_ups += 1
-        if self._pushed_over():
+        if self._overloaded_while_cold():
             self.tally.fell = True
             self.die()
             return
         if not self.faults.mute:
             self.transactions.respond(self.now(), tx, response(message, 100))
-        neighbour, circuits = self._neighbour(message), ()
-        leg = Leg(tx, message, self.new_id(), neighbour, circuits)
-        self.invites[message.branch] = leg
+        neighbour, circuits = self._neighbour_of(message), ()
+        leg = InboundLeg(tx, message, self.new_id(), neighbour, circuits)
+        self.legs_by_branch[message.branch] = leg
         if neighbour >= 0:
-            fault = self._claim(leg, message)
+            fault = self._claim_circuits(leg, message)
             if fault:
-                if "busy" in fault:  # glare and a loss told just now are no disagreement
+                if "busy" in fault:  # glare and circuits just taken out of service are not counted as faults
                     self.tally.circuit_faults.append(f"{self.loop.time():.3f} {fault}")
                 self._refuse(leg, 503, fields.reason(fields.NOT_THIS_CIRCUIT, fault))
                 return
-        if self.faults.refuse_all:
-            self._refuse(leg, self.faults.refuse_all, "")
+        if self.faults.refuse_status:
+            self._refuse(leg, self.faults.refuse_status, "")
         elif self.processor.wait() > self.plant.refuse_past:
-            self.processor.work(0.2, lambda: self._full(leg))
+            self.processor.work(0.2, lambda: self._refuse_overloaded(leg))
         else:
-            leg.work = self.processor.work(1.0, lambda: self._looked_at(leg), set_up=True)
+            leg.work = self.processor.work(1.0, lambda: self._route_set_up(leg), set_up=True)
 
-    def _neighbour(self, message: Message) -> int:
+    def _neighbour_of(self, message: Message) -> int:
+        """Return the exchange at the far end of the trunk group in the Contact, -1 if there is none."""
         group, _ = fields.read_trunk(message)
         if not group:
             return -1
-        one, _, other = group.partition("-")
-        return int(other) if int(one) == self.plant.number else int(one)
+        first, _, second = group.partition("-")
+        return int(second) if int(first) == self.plant.number else int(first)
 
-    def _claim(self, leg: Leg, message: Message) -> str:
-        """The circuits that the far end seized, busy on this side too; or what is wrong with them."""
-        trunks = self.trunks.get(leg.neighbour)
+    def _claim_circuits(self, leg: InboundLeg, message: Message) -> str:
+        """Mark the circuits that the far end seized as busy; return the reason if one cannot be taken."""
+        trunk_group = self.trunks.get(leg.neighbour)
         circuits = fields.read_circuits(message.get(fields.CIRCUITS))
-        if trunks is None:
+        if trunk_group is None:
             return f"no group with {leg.neighbour}"
         for circuit in circuits:
-            holder = trunks.busy.get(circuit)
-            if circuit >= trunks.size or circuit in trunks.blocked:
+            holder = trunk_group.busy.get(circuit)
+            if circuit >= trunk_group.size or circuit in trunk_group.blocked:
                 return f"circuit {circuit} is not in service"
-            if holder is not None and isinstance(holder, Onward) and holder.state == "out":
-                if trunks.controls(circuit):
+            if holder is not None and isinstance(holder, OutboundLeg) and holder.state == "out":
+                if trunk_group.controls(circuit):
                     return f"glare on circuit {circuit}"
             elif holder is not None and getattr(holder, "state", "") != "releasing":
                 return f"circuit {circuit} of group {leg.neighbour} is busy here"
         for circuit in circuits:
-            trunks.take(circuit, leg)
+            trunk_group.assign(circuit, leg)
         leg.circuits = circuits
         return ""
 
-    def _full(self, leg: Leg) -> None:
+    def _refuse_overloaded(self, leg: InboundLeg) -> None:
         answer = response(leg.invite, 503, leg.tag)
         answer.set("reason", fields.reason(fields.CONGESTED))
         if self.plant.names_wait:
             fields.write_wait(answer, int(self.processor.wait() * 1e9))
         self.tally.refused += 1
-        self._answer(leg, answer)
+        self._send_final(leg, answer)
 
-    def _refuse(self, leg: Leg, status: int, reason: str) -> None:
+    def _refuse(self, leg: InboundLeg, status: int, reason: str) -> None:
         answer = response(leg.invite, status, leg.tag)
         answer.set("reason", reason or None)
-        self._answer(leg, answer)
+        self._send_final(leg, answer)
 
-    def _looked_at(self, leg: Leg) -> None:
+    def _route_set_up(self, leg: InboundLeg) -> None:
         if leg.state != "asked":
             return
         number = uri_parts(leg.invite.uri)[0].partition(";")[0]
-        dest = next((x for p, x in sorted(self.plant.numbers.items()) if number.startswith(p)), -1)
+        dest = next(
+            (
+                exchange
+                for prefix, exchange in sorted(self.plant.numbers.items())
+                if number.startswith(prefix)
+            ),
+            -1,
+        )
         if dest == self.plant.number:
             lines = self.faults.hot.get(number, 0)
-            if lines and self.calls_to.get(number, 0) < lines:
-                leg.number = number
-                self.calls_to[number] = self.calls_to.get(number, 0) + 1
-                self._stand(leg)
+            if lines and self.calls_by_number.get(number, 0) < lines:
+                leg.limited_number = number
+                self.calls_by_number[number] = self.calls_by_number.get(number, 0) + 1
+                self._answer_call(leg)
             elif lines or self.rng.random() < self.plant.busy_lines:
                 self._refuse(leg, 486, fields.reason(fields.BUSY))
             else:
-                self._stand(leg)
+                self._answer_call(leg)
         elif dest < 0 or dest not in self.trunks or leg.neighbour < 0:
             self._refuse(leg, 404, "")
         else:
-            onward = Onward(leg, dest)
-            leg.onward = onward
-            if not self._send_on(onward, leg.invite):
+            outbound = OutboundLeg(leg, dest)
+            leg.outbound = outbound
+            if not self._send_outbound(outbound, leg.invite):
                 self._refuse(leg, 503, fields.reason(fields.TURNED_BACK, "no circuit beyond", fields.OWN))
 
-    def _stand(self, leg: Leg) -> None:
+    def _answer_call(self, leg: InboundLeg) -> None:
         answer = response(leg.invite, 200, leg.tag)
         answer.set("contact", f"<sip:x{self.plant.number}@{self.address}>")
         leg.dialog = Dialog.of_server(leg.invite, answer, leg.tx.flow)
         leg.state = "standing"
         self.legs[leg.invite.call_id, leg.tag] = leg
-        self.tally.stood += 1
-        self._answer(leg, answer)
+        self.tally.answered += 1
+        self._send_final(leg, answer)
 
-    def _answer(self, leg: Leg, answer: Message) -> None:
-        """The final word on a set-up; with a failure its circuits are free."""
+    def _send_final(self, leg: InboundLeg, answer: Message) -> None:
+        """Send the final response of a set-up; a failure frees its circuits."""
         if answer.status >= 300:
             leg.state = "over"
-            self._free(leg)
+            self._free_leg(leg)
         if self.rng.random() < self.faults.lose_answers and answer.status != 487:
-            leg.unheard = True
-            self.invites[leg.invite.branch] = leg  # a CANCEL still finds it
+            leg.answer_lost = True
+            self.legs_by_branch[leg.invite.branch] = leg  # the caller may still send a CANCEL
             return
-        fields.add_load(answer, self.load())
-        if self.faults.tear and self.rng.random() < self.faults.tear and leg.tx.flow in self.wires:
-            self.wires[leg.tx.flow].tear(TORN)
+        fields.add_load(answer, self.load_report())
+        if (
+            self.faults.tear
+            and self.rng.random() < self.faults.tear
+            and leg.tx.flow in self.connection_by_flow
+        ):
+            self.connection_by_flow[leg.tx.flow].split_next_write(SPLIT_ANSWER_DELAY)
         self.transactions.respond(self.now(), leg.tx, answer)
         self.pump()
 
-    def _free(self, leg: Leg) -> None:
-        self.invites.pop(leg.invite.branch, None)
+    def _free_leg(self, leg: InboundLeg) -> None:
+        self.legs_by_branch.pop(leg.invite.branch, None)
         self.legs.pop((leg.invite.call_id, leg.tag), None)
-        if leg.number:
-            self.calls_to[leg.number] -= 1
-            leg.number = ""
+        if leg.limited_number:
+            self.calls_by_number[leg.limited_number] -= 1
+            leg.limited_number = ""
         if leg.neighbour in self.trunks:
-            self.trunks[leg.neighbour].give_back(leg)
+            self.trunks[leg.neighbour].release(leg)
 
-    # -- set-ups sent on, and calls of our own -------------------------------------------------------------
+    # -- outgoing legs: transit calls and calls of own subscribers -----------------------------------------
 
-    def _send_on(self, onward: Onward, like: Message) -> bool:
-        trunks = self.trunks[onward.neighbour]
-        address = self.neighbours.get(onward.neighbour, "")
-        width = len(fields.read_circuits(like.get(fields.CIRCUITS)))
+    def _send_outbound(self, outbound: OutboundLeg, template: Message) -> bool:
+        """Seize circuits and send an INVITE with the fields of `template`.  False if that is not possible."""
+        trunk_group = self.trunks[outbound.neighbour]
+        address = self.neighbours.get(outbound.neighbour, "")
+        width = len(fields.read_circuits(template.get(fields.CIRCUITS)))
         flow = self.links.get(address)
-        if flow is None or not trunks.seize(width, onward):
+        if flow is None or not trunk_group.seize(width, outbound):
             return False
-        mine = [c for c, holder in trunks.busy.items() if holder is onward]
+        circuits = [circuit for circuit, holder in trunk_group.busy.items() if holder is outbound]
         invite = request(
-            "INVITE", like.uri, via=self.via(), sender=f"<sip:x@{self.address}>;tag={self.new_id()}",
-            to=f"<{like.uri}>", call_id=self.new_id(), cseq=1,
+            "INVITE", template.uri, via=self.via(), sender=f"<sip:x@{self.address}>;tag={self.new_id()}",
+            to=f"<{template.uri}>", call_id=self.new_id(), cseq=1,
         )  # fmt: skip
-        group = fields.group_name(self.plant.number, onward.neighbour)
+        group = fields.group_name(self.plant.number, outbound.neighbour)
         invite.set("contact", fields.trunk_contact(self.address, group, self.plant.context))
-        invite.set(fields.CIRCUITS, fields.write_circuits(tuple(mine)))
+        invite.set(fields.CIRCUITS, fields.write_circuits(tuple(circuits)))
         for name in (fields.CLASS, fields.PATIENCE, "session-id"):
-            invite.set(name, like.get(name) or None)
-        onward.invite = invite
-        onward.tx = self.transactions.send(self.now(), flow, invite)
-        onward.tx.owner = onward
+            invite.set(name, template.get(name) or None)
+        outbound.invite = invite
+        outbound.tx = self.transactions.send(self.now(), flow, invite)
+        outbound.tx.owner = outbound
         return True
 
     def place(self, dest: int, via: int, number: str, cls: str, width: int, patience: float, hold: float,
               done: Callable[[str], None] | None = None) -> None:  # fmt: skip
-        """A call of one of our own subscribers, sent over the neighbour `via`."""
-        self.tally.own_tried += 1
-        onward = Onward(None, via, hold=hold, done=done)
-        like = Message("INVITE", f"sip:{number}@{self.address}", 0, "", {
+        """Place a call of an own subscriber, sent to the neighbour `via`.  Times in seconds.
+
+        `done` is called once with how the set-up ended.
+        """
+        self.tally.own_attempts += 1
+        outbound = OutboundLeg(None, via, holding_time=hold, on_end=done)
+        template = Message("INVITE", f"sip:{number}@{self.address}", 0, "", {
             fields.CLASS: [cls], fields.PATIENCE: [str(int(patience * 1000))],
             fields.CIRCUITS: [fields.write_circuits(tuple(range(width)))],
             "session-id": [f"{self.rng.getrandbits(128):032x}"],
         })  # fmt: skip
-        if not self._send_on(onward, like):
-            self._finished(onward, "no circuit")
+        if not self._send_outbound(outbound, template):
+            self._report_end(outbound, "no circuit")
         else:
-            self.later(patience, lambda: self._drop(onward) if onward.state == "out" else None)
+            self.call_later(patience, lambda: self._drop(outbound) if outbound.state == "out" else None)
         self.pump()
 
-    def _finished(self, onward: Onward, how: str) -> None:
-        if onward.done is not None:
-            done, onward.done = onward.done, None
-            done(how)
-
-    def _drop(self, onward: Onward) -> None:
-        """Call off what is still out; release what stands."""
-        if onward.state == "out" and onward.tx is not None and onward.invite is not None:
-            if onward.tx.state is State.PROCEEDING and not onward.cancelled:
-                onward.cancelled = True
-                self.transactions.send(self.now(), onward.tx.flow, cancel(onward.invite))
-            onward.unwanted = True
-        elif onward.state == "standing" and onward.dialog is not None:
-            onward.state = "releasing"
-            bye = onward.dialog.request("BYE", self.via())
-            self.transactions.send(self.now(), onward.dialog.flow, bye).owner = onward
-
-    def on_answer(self, tx: Transaction, message: Message) -> None:
-        onward = tx.owner
-        if isinstance(onward, Leg) and message.status >= 200:  # our release is answered: circuits back
-            onward.state = "over"
-            self._free(onward)
-        if isinstance(onward, Onward) and message.status < 200 and onward.unwanted:
-            self._drop(onward)  # now that a provisional answer allows the CANCEL
-        if not isinstance(onward, Onward) or message.status < 200:
+    def _report_end(self, outbound: OutboundLeg, outcome: str) -> None:
+        if outbound.on_end is not None:
+            done, outbound.on_end = outbound.on_end, None
+            done(outcome)
+
+    def _drop(self, outbound: OutboundLeg) -> None:
+        """Cancel a pending set-up, or release a standing call."""
+        if outbound.state == "out" and outbound.tx is not None and outbound.invite is not None:
+            if outbound.tx.state is State.PROCEEDING and not outbound.cancel_sent:
+                outbound.cancel_sent = True
+                self.transactions.send(self.now(), outbound.tx.flow, cancel(outbound.invite))
+            outbound.abandoned = True
+        elif outbound.state == "standing" and outbound.dialog is not None:
+            outbound.state = "releasing"
+            bye = outbound.dialog.request("BYE", self.via())
+            self.transactions.send(self.now(), outbound.dialog.flow, bye).owner = outbound
+
+    def on_response(self, tx: Transaction, message: Message) -> None:
+        owner = tx.owner
+        if isinstance(owner, InboundLeg) and message.status >= 200:  # response to a BYE from this end
+            owner.state = "over"
+            self._free_leg(owner)
+        if isinstance(owner, OutboundLeg) and message.status < 200 and owner.abandoned:
+            self._drop(owner)  # RFC 3261, 9.1: the provisional response allows the CANCEL
+        if not isinstance(owner, OutboundLeg) or message.status < 200:
             return
         if tx.kind is not Kind.CLIENT_INVITE:
-            self._ended(onward, "released")
+            self._end_outbound(owner, "released")
             return
-        assert onward.invite is not None
+        assert owner.invite is not None
         if message.status >= 300:
-            self._ended(onward, f"refused {message.status}")
-            if onward.leg is not None and onward.leg.state == "asked":
+            self._end_outbound(owner, f"refused {message.status}")
+            if owner.inbound is not None and owner.inbound.state == "asked":
                 protocol, cause = fields.read_reason(message)
                 full = protocol == "Q.850" and cause == fields.CONGESTED
-                own = fields.BEYOND_FULL if full else fields.TURNED_BACK
-                self._refuse(onward.leg, 503, fields.reason(own, "beyond", fields.OWN))
+                reported_cause = fields.BEYOND_FULL if full else fields.TURNED_BACK
+                self._refuse(owner.inbound, 503, fields.reason(reported_cause, "beyond", fields.OWN))
             return
-        ack = acknowledge(onward.invite, message, self.via())
+        ack = acknowledge(owner.invite, message, self.via())
         self.transactions.out.append((tx.flow, ack.encode()))
-        onward.dialog = Dialog.of_client(onward.invite, message, tx.flow)
-        self.legs_out[onward.invite.call_id, onward.invite.from_tag] = onward
-        onward.state = "standing"
-        if onward.unwanted or (onward.leg is not None and onward.leg.state != "asked"):
-            self._drop(onward)
-        elif onward.leg is not None:
-            self._stand(onward.leg)
+        owner.dialog = Dialog.of_client(owner.invite, message, tx.flow)
+        self.legs_out[owner.invite.call_id, owner.invite.from_tag] = owner
+        owner.state = "standing"
+        if owner.abandoned or (owner.inbound is not None and owner.inbound.state != "asked"):
+            self._drop(owner)
+        elif owner.inbound is not None:
+            self._answer_call(owner.inbound)
         else:
-            self.tally.own_stood += 1
-            self._finished(onward, "stands")
-            self.later(onward.hold, lambda: self._drop(onward))
-
-    def _ended(self, onward: Onward, how: str) -> None:
-        onward.state = "over"
-        self.trunks[onward.neighbour].give_back(onward)
-        if onward.invite is not None:
-            self.legs_out.pop((onward.invite.call_id, onward.invite.from_tag), None)
-        self._finished(onward, how)
-
-    def on_no_answer(self, tx: Transaction, broken: bool) -> None:
-        onward = tx.owner
-        if isinstance(onward, Leg):
-            self._free(onward)
-        elif isinstance(onward, Onward):
-            self._ended(onward, "lost")
-            if onward.leg is not None and onward.leg.state == "asked":
-                self._refuse(onward.leg, 503, fields.reason(fields.TURNED_BACK, "lost beyond", fields.OWN))
-
-    def _bye(self, tx: Transaction, message: Message) -> None:
+            self.tally.own_answered += 1
+            self._report_end(owner, "stands")
+            self.call_later(owner.holding_time, lambda: self._drop(owner))
+
+    def _end_outbound(self, outbound: OutboundLeg, outcome: str) -> None:
+        outbound.state = "over"
+        self.trunks[outbound.neighbour].release(outbound)
+        if outbound.invite is not None:
+            self.legs_out.pop((outbound.invite.call_id, outbound.invite.from_tag), None)
+        self._report_end(outbound, outcome)
+
+    def on_transaction_failed(self, tx: Transaction, broken: bool) -> None:
+        owner = tx.owner
+        if isinstance(owner, InboundLeg):
+            self._free_leg(owner)
+        elif isinstance(owner, OutboundLeg):
+            self._end_outbound(owner, "lost")
+            if owner.inbound is not None and owner.inbound.state == "asked":
+                self._refuse(owner.inbound, 503, fields.reason(fields.TURNED_BACK, "lost beyond", fields.OWN))
+
+    def _handle_bye(self, tx: Transaction, message: Message) -> None:
         key = (message.call_id, message.to_tag)
-        leg, onward = self.legs.get(key), self.legs_out.get(key)
-        if leg is None and onward is None:
+        leg, outbound = self.legs.get(key), self.legs_out.get(key)
+        if leg is None and outbound is None:
             self.transactions.respond(self.now(), tx, response(message, 481))
             return
         if not self.plant.releases_wait:
-            self._release(tx, message)
+            self._complete_release(tx, message)
             self.processor.work(self.plant.release_work, lambda: None, first=True)
         else:
-            self.processor.work(self.plant.release_work, lambda: self._release(tx, message), first=True)
+            self.processor.work(
+                self.plant.release_work, lambda: self._complete_release(tx, message), first=True
+            )
 
-    def _release(self, tx: Transaction, message: Message) -> None:
-        """The release is done: circuits back at this end, and the far end told so."""
+    def _complete_release(self, tx: Transaction, message: Message) -> None:
+        """Answer the BYE, free the circuits at this end, and release the other leg of a transit call."""
         self.transactions.respond(self.now(), tx, response(message, 200))
         key = (message.call_id, message.to_tag)
-        leg, onward = self.legs.get(key), self.legs_out.get(key)
+        leg, outbound = self.legs.get(key), self.legs_out.get(key)
         if leg is not None:
             leg.state = "over"
-            self._free(leg)
-            if leg.onward is not None:
-                self._drop(leg.onward)
-        if onward is not None:
-            self._ended(onward, "cut" if fields.read_reason(message)[1] != fields.NORMAL else "released")
-            if onward.leg is not None:
-                self.hang_up(onward.leg, fields.NORMAL)
-
-    # -- troubles ------------------------------------------------------------------------------------------
-
-    def hang_up(self, leg: Leg, cause: int) -> None:
-        """End a call from this end."""
+            self._free_leg(leg)
+            if leg.outbound is not None:
+                self._drop(leg.outbound)
+        if outbound is not None:
+            self._end_outbound(
+                outbound, "cut" if fields.read_reason(message)[1] != fields.NORMAL else "released"
+            )
+            if outbound.inbound is not None:
+                self.hang_up(outbound.inbound, fields.NORMAL)
+
+    # -- faults and commands of a script -------------------------------------------------------------------
+
+    def hang_up(self, leg: InboundLeg, cause: int) -> None:
+        """Release a standing call from this end, with a Q.850 cause."""
         if leg.dialog is None or leg.state != "standing":
             return
         leg.state = "releasing"
@@ -498,45 +528,51 @@
         bye.set("reason", fields.reason(cause))
         self.transactions.send(self.now(), leg.dialog.flow, bye).owner = leg
 
-    def standing(self) -> list[Leg]:
+    def standing(self) -> list[InboundLeg]:
+        """Return the incoming legs whose calls stand."""
         return [leg for leg in self.legs.values() if leg.state == "standing"]
 
     def cut(self, share: float) -> int:
-        """A share of the calls that stand here is cut."""
+        """Cut a share of the standing calls; return how many."""
         legs = self.standing()
-        chosen = self.rng.sample(legs, round(share * len(legs)))
-        for leg in chosen:
+        sampled = self.rng.sample(legs, round(share * len(legs)))
+        for leg in sampled:
             self.hang_up(leg, fields.NETWORK_OUT)
         self.pump()
-        return len(chosen)
+        return len(sampled)
 
     def block(self, neighbour: int, keep: float) -> None:
-        """The group toward a neighbour keeps this share of its circuits; the far end is told the lost."""
-        trunks = self.trunks[neighbour]
-        lost = lost_circuits(trunks.size, keep)
-        trunks.blocked = set(lost)
+        """Leave this share of a group's circuits in service, and tell the far end which ones are blocked."""
+        trunk_group = self.trunks[neighbour]
+        lost = lost_circuits(trunk_group.size, keep)
+        trunk_group.blocked = set(lost)
         address = self.neighbours.get(neighbour, "")
         if address in self.links:
             tell_blocked(self, address, (self.plant.number, neighbour), self.plant.context, lost)
 
-    def on_gone(self, flow: int) -> None:
-        for leg in [x for x in self.legs.values() if x.tx.flow == flow]:
+    def on_connection_lost(self, flow: int) -> None:
+        """Release the legs on the connection; calls that stood there are cut."""
+        for leg in [leg for leg in self.legs.values() if leg.tx.flow == flow]:
             leg.state = "over"
-            self._free(leg)
-            if leg.onward is not None:
-                self._drop(leg.onward)
-        for leg in [x for x in self.invites.values() if x.tx.flow == flow and x.state == "asked"]:
+            self._free_leg(leg)
+            if leg.outbound is not None:
+                self._drop(leg.outbound)
+        for leg in [
+            leg for leg in self.legs_by_branch.values() if leg.tx.flow == flow and leg.state == "asked"
+        ]:
             leg.state = "over"
-            self._free(leg)
-            if leg.onward is not None:
-                self._drop(leg.onward)
-        for onward in [o for o in self.legs_out.values() if o.dialog is not None and o.dialog.flow == flow]:
-            self._ended(onward, "cut")
-            if onward.leg is not None:
-                self.hang_up(onward.leg, fields.NETWORK_OUT)
+            self._free_leg(leg)
+            if leg.outbound is not None:
+                self._drop(leg.outbound)
+        for outbound in [
+            leg for leg in self.legs_out.values() if leg.dialog is not None and leg.dialog.flow == flow
+        ]:
+            self._end_outbound(outbound, "cut")
+            if outbound.inbound is not None:
+                self.hang_up(outbound.inbound, fields.NETWORK_OUT)
 
     async def join(self, neighbours: dict[int, str]) -> None:
-        """Dial the neighbours, and keep dialling."""
+        """Connect to the neighbours, and reconnect for as long as the exchange runs."""
         self.neighbours = neighbours
         for address in neighbours.values():
             self._keep(address)
@@ -553,19 +589,22 @@
 
 
 def lost_circuits(size: int, keep: float) -> list[int]:
-    """Which circuits a group loses that keeps this share: the same at both ends, and scattered."""
+    """Return the circuits that a group loses which keeps this share: scattered, and the same at both ends."""
     return sorted(range(size), key=lambda c: (c * 7919) % 10007)[: round((1 - keep) * size)]
 
 
-def tell_blocked(teller: Element, address: str, pair: tuple[int, int], context: str, lost: list[int]) -> None:
-    """Tell a call server the whole set of a group's circuits that are out of service."""
+def tell_blocked(
+    element: Element, address: str, pair: tuple[int, int], context: str, lost: list[int]
+) -> None:
+    """Send a call server the full set of a group's circuits that are out of service."""
     notify = request(
-        "NOTIFY", f"sip:{address}", via=teller.via(), to=f"<sip:trunks@{address}>",
-        sender=f"<sip:{teller.name}@{teller.address}>;tag={teller.new_id()}", call_id=teller.new_id(), cseq=1,
+        "NOTIFY", f"sip:{address}", via=element.via(), to=f"<sip:trunks@{address}>",
+        sender=f"<sip:{element.name}@{element.address}>;tag={element.new_id()}", call_id=element.new_id(),
+        cseq=1,
     )  # fmt: skip
     group = fields.group_name(*pair)
-    notify.set("contact", fields.trunk_contact(teller.address, group, context))
+    notify.set("contact", fields.trunk_contact(element.address, group, context))
     notify.set("event", fields.CIRCUITS)
     notify.set(fields.CIRCUITS, ",".join(map(str, sorted(lost))))
-    teller.transactions.send(teller.now(), teller.links[address], notify)
-    teller.pump()
+    element.transactions.send(element.now(), element.links[address], notify)
+    element.pump()
--- a/eiderstep/standin/platform.py
+++ b/eiderstep/standin/platform.py
@@ -1,6 +1,6 @@
-"""Stand-ins of the platform's offices, change log and callers, on loopback, with faults that a test asks for.
+"""Stand-ins of the platform's offices, change log and callers on loopback, with faults that a test injects.
 
-They speak the platform's published messages and know nothing of the call server's insides.
+They use only the platform's published messages and nothing of the call server's internals.
 """
 
 from __future__ import annotations
@@ -16,10 +16,12 @@
 from eiderstep.isup.parser import Parser, Unreadable
 
 HOST = "127.0.0.1"
-Reply = Callable[["OfficeWire", Message], None]
+SetUpHandler = Callable[["OfficeWire", Message], None]
 
 
-class _Wire(asyncio.Protocol):
+class _Connection(asyncio.Protocol):
+    """A TCP connection with a parser; `closed` is a future that is done once the connection is lost."""
+
     transport: asyncio.Transport
 
     def __init__(self) -> None:
@@ -31,9 +33,9 @@
 
     def data_received(self, data: bytes) -> None:
         for item in self.parser.feed(data):
-            self.said(item)
+            self.handle_item(item)
 
-    def said(self, item: Message | Unreadable) -> None:
+    def handle_item(self, item: Message | Unreadable) -> None:
         raise NotImplementedError
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -44,8 +46,8 @@
         self.transport.write(message.encode())
 
 
-class OfficeWire(_Wire):
-    """One link that a call server dialled."""
+class OfficeWire(_Connection):
+    """One connection from a call server to an office."""
 
     def __init__(self, office: Office) -> None:
         super().__init__()
@@ -54,31 +56,34 @@
     def connection_made(self, transport: Any) -> None:
         super().connection_made(transport)
         self.office.wires.append(self)
-        self.state()
+        self.send_state()
 
     def connection_lost(self, exc: Exception | None) -> None:
         super().connection_lost(exc)
         self.office.wires.remove(self)
 
-    def state(self) -> None:
-        """The group's state, first of all and whenever it changes."""
+    def send_state(self) -> None:
+        """Send the state of the trunk group: the first message of a link, repeated on every change."""
         free = self.office.size - len(self.office.standing)
         report = f"x0:{free};x1:{self.office.size};queue:0;qps:100"
         self.send(Message(isup.STATE, isup.NO_CALL, {isup.REPORT: report.encode()}))
 
-    def said(self, item: Message | Unreadable) -> None:
-        assert isinstance(item, Message), "the call server wrote what cannot be read"
-        self.office.take(self, item)
+    def handle_item(self, item: Message | Unreadable) -> None:
+        assert isinstance(item, Message), "the call server sent a message that cannot be parsed"
+        self.office.handle_message(self, item)
 
 
 class Office:
-    """One office.  `reply` is asked for each set-up; by default the call stands."""
+    """One office with `size` circuits.
+
+    `reply` handles each set-up, by default by answering the call.
+    """
 
     def __init__(self, name: str, number: int, size: int = 40) -> None:
         self.name, self.number, self.size = name, number, size
-        self.reply: Reply = self.answer
+        self.reply: SetUpHandler = self.answer
         self.wires: list[OfficeWire] = []
-        self.came: list[Message] = []
+        self.received: list[Message] = []
         self.standing: set[str] = set()
         self.deaf = False
         self.server: asyncio.Server | None = None
@@ -91,7 +96,7 @@
         self.port = self.server.sockets[0].getsockname()[1]
 
     def kill(self) -> None:
-        """The process dies: its connections are reset, its address refuses."""
+        """Behave as a killed process: connections are reset, new ones refused, and standing calls lost."""
         if self.server is not None:
             self.server.close()
         for wire in list(self.wires):
@@ -99,50 +104,58 @@
         self.standing.clear()
 
     def entry(self, health: str = "ready") -> dict[str, Any]:
+        """Return the office as an entry of the change log."""
         return {
             "host": self.name, "dial": f"{HOST}:{self.port}", "site": "east", "class": "std",
             "block": self.number, "health": health, "share": 1.0, "born_ms": 0,
         }  # fmt: skip
 
-    def take(self, wire: OfficeWire, message: Message) -> None:
+    def handle_message(self, wire: OfficeWire, message: Message) -> None:
         if self.deaf:
             return
         if message.kind == isup.TEST:
             wire.send(Message(isup.TESTED, message.call, {isup.CAUSE: b"\1"}))
             return
-        self.came.append(message)
+        self.received.append(message)
         if message.kind == isup.IAM:
             self.reply(wire, message)
         elif message.kind == isup.REL:
             self.standing.discard(message.call)
-            self.changed()
+            self.send_states()
 
-    def changed(self) -> None:
-        """Free circuits changed: told on the links, four at most."""
+    def send_states(self) -> None:
+        """Report the number of free circuits on up to four links."""
         for wire in self.wires[:4]:
-            wire.state()
+            wire.send_state()
 
     def answer(self, wire: OfficeWire, message: Message) -> None:
+        """Answer a set-up; the call stands."""
         self.standing.add(message.call)
         described = f"{self.name} {message.call}\r\n".encode()
         wire.send(Message(isup.ANM, message.call, {isup.DESCRIPTION: described}))
-        self.changed()
+        self.send_states()
 
-    def refuse(self, cause: int) -> Reply:
+    def refuse_with(self, cause: int) -> SetUpHandler:
+        """Return a handler that refuses set-ups with a Q.850 cause."""
         return lambda wire, message: wire.send(Message(isup.REL, message.call, {isup.CAUSE: bytes((cause,))}))
 
     def release(self, call: str, cause: int = isup.NORMAL) -> None:
-        """A call that stood here has come to its end."""
+        """Release a standing call on the newest link."""
         self.standing.discard(call)
         self.wires[-1].send(Message(isup.REL, call, {isup.CAUSE: bytes((cause,))}))
-        self.changed()
+        self.send_states()
 
     def count(self, kind: int) -> int:
-        return sum(message.kind == kind for message in self.came)
+        """Return how many messages of a kind were received."""
+        return sum(message.kind == kind for message in self.received)
 
 
 class ChangeLog:
-    """Numbered events by long polls.  `fault`: "cut" breaks off in an answer, "silent" never gives one."""
+    """The change log: numbered events over HTTP long polls.
+
+    `polls` lists the event number that each poll started from.  `fault`: "cut" closes the connection in the
+    middle of a response, "silent" never responds.
+    """
 
     def __init__(self) -> None:
         self.events: list[dict[str, Any]] = []
@@ -150,7 +163,7 @@
         self.fault = ""
         self.server: asyncio.Server | None = None
         self.port = 0
-        self.changed = asyncio.Event()
+        self.event_added = asyncio.Event()
         self.writers: list[asyncio.StreamWriter] = []
 
     async def open(self) -> None:
@@ -164,26 +177,28 @@
             writer.close()
 
     def tell(self, *hosts: dict[str, Any], whole: bool = False) -> None:
+        """Append an event.  `whole`: the hosts are the full list, not a change."""
         seq = len(self.events) + 1
         self.events.append({"seq": seq, "fleet": {"seq": seq, "whole": whole, "hosts": list(hosts)}})
-        self.changed.set()
+        self.event_added.set()
 
     def answer(self, since: int) -> dict[str, Any]:
+        """Return the response to a poll: the events after number `since`."""
         return {"seq": len(self.events), "results": self.events[since:]}
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.writers.append(writer)
         try:
             while head := await reader.readuntil(b"\r\n\r\n"):
-                asked = dict(p.split("=") for p in head.split()[1].decode().partition("?")[2].split("&"))
-                since, wait = int(asked["since"]), int(asked["timeout"]) / 1000
+                query = dict(p.split("=") for p in head.split()[1].decode().partition("?")[2].split("&"))
+                since, timeout = int(query["since"]), int(query["timeout"]) / 1000
                 self.polls.append(since)
                 if self.fault == "silent":
                     await asyncio.sleep(3600)
                 if len(self.events) <= since:
-                    self.changed.clear()
+                    self.event_added.clear()
                     with contextlib.suppress(TimeoutError):
-                        await asyncio.wait_for(self.changed.wait(), wait)
+                        await asyncio.wait_for(self.event_added.wait(), timeout)
                 body = json.dumps(self.answer(since)).encode()
                 data = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body
                 if self.fault == "cut" and self.events[since:]:
@@ -196,14 +211,14 @@
             writer.close()
 
 
-class Caller(_Wire):
-    """One connection of a caller.  `heard` is a queue of what came."""
+class Caller(_Connection):
+    """One connection of a caller.  `heard` is the queue of received messages."""
 
     def __init__(self) -> None:
         super().__init__()
         self.heard: asyncio.Queue[Message | Unreadable] = asyncio.Queue()
 
-    def said(self, item: Message | Unreadable) -> None:
+    def handle_item(self, item: Message | Unreadable) -> None:
         self.heard.put_nowait(item)
 
     @classmethod
@@ -212,16 +227,20 @@
         return wire
 
     def ask(self, call: str, dest: int, wait: int = 2000, figures: str = "", **more: bytes) -> None:
-        """A set-up."""
-        said = {
+        """Send a set-up.
+
+        `wait`: give-up time in ms; `more`: further parameters by the lower-case names of `isup` constants.
+        """
+        parameters = {
             isup.CLASS: b"voice", isup.PATIENCE: str(wait).encode(), isup.NUMBER: call.encode(),
             isup.FIGURES: (figures or f"dest:{dest};width:1;via:-1").encode(),
             isup.DESCRIPTION: f"caller {call}\r\n".encode(),
         }  # fmt: skip
-        said |= {getattr(isup, name.upper()): value for name, value in more.items()}
-        self.send(Message(isup.IAM, call, said))
+        parameters |= {getattr(isup, name.upper()): value for name, value in more.items()}
+        self.send(Message(isup.IAM, call, parameters))
 
     async def hear(self, seconds: float = 10.0) -> Message:
+        """Return the next received message.  Raises TimeoutError after that many seconds."""
         item = await asyncio.wait_for(self.heard.get(), seconds)
         assert isinstance(item, Message)
         return item
--- a/eiderstep/standin/processor.py
+++ b/eiderstep/standin/processor.py
@@ -1,4 +1,4 @@
-"""The one-line processor of an exchange: a queue of work, warm-up after a start, ageing, hangs and pauses."""
+"""The simulated processor of an exchange: a single server with a queue, warm-up, ageing and hangs."""
 
 from __future__ import annotations
 
@@ -11,22 +11,22 @@
 
 @dataclass(frozen=True)
 class Making:
-    """How a processor is made.  Times in seconds.
+    """The configuration of a processor.  Times in seconds.
 
-    `warm_up`: how its capacity grows from `cold_share` to all of it: in a straight line over `cold_time`;
-    late (most of it in the last third, as caches fill); in four steps; or by the work done, where `cold_time`
-    is what full work would take.  `first`: answers and releases go before set-ups that wait.
+    `warm_up`: how the capacity grows from `cold_share` to the full capacity: linearly over `cold_time`; late
+    (most of it in the last third, as when caches fill); in four steps; or by the work done, complete after
+    `cold_time` worth of work at full capacity.  `first`: answers and releases are served before set-ups.
     """
 
     capacity: float = 60.0  # set-ups a second when warm
-    cold_share: float = 0.3
+    cold_share: float = 0.3  # of the capacity, right after a start
     cold_time: float = 0.0
     warm_up: str = "linear"
     first: bool = False
 
 
 def warmth(shape: str, age: float) -> float:
-    """How much of the way from cold to warm is done, 0 to 1, at `age` of the whole time, 0 to 1."""
+    """Return the progress from cold to warm, 0 to 1, at `age`, the elapsed share of the warm-up time."""
     age = min(max(age, 0.0), 1.0)
     if shape == "late":
         return age**3
@@ -36,91 +36,97 @@
 
 
 @dataclass(eq=False)
-class Work:
-    """One piece.  `units` of one set-up's work; `dropped`: nobody wants it any more."""
+class WorkItem:
+    """One item of work.  `units`: its size, 1 being a set-up; `dropped`: cancelled while it waited."""
 
     units: float
-    what: Callable[[], None]
-    set_up: bool
+    action: Callable[[], None]
+    is_set_up: bool
     dropped: bool = False
 
 
 @dataclass(eq=False)
 class Processor:
-    """`later(seconds, what)` runs something later; `now()` in seconds; `started` None for long ago."""
+    """A single server with a queue.
 
-    making: Making
+    `now()` returns seconds, and `schedule(seconds, action)` runs an action after a delay.  `started` is the
+    time of the start; None: so long ago that the processor is warm.
+    """
+
+    config: Making
     now: Callable[[], float]
-    later: Callable[[float, Callable[[], object]], None]
+    schedule: Callable[[float, Callable[[], object]], None]
     started: float | None
-    slow: float = 1.0  # times the usual work
-    hung: bool = False  # takes work and does none
-    ageing: tuple[float, float] | None = None  # since when, and the time in which it gets twice as slow
-    waiting: deque[Work] = field(default_factory=deque)
-    ahead: deque[Work] = field(default_factory=deque)  # answers and releases, where they go first
-    units: float = 0.0  # that wait
+    slow: float = 1.0  # factor on the time of all work
+    hung: bool = False  # queues work and does none
+    ageing: tuple[float, float] | None = None  # its start, and the time in which service times double
+    queue: deque[WorkItem] = field(default_factory=deque)
+    priority_queue: deque[WorkItem] = field(default_factory=deque)  # answers and releases, with `first` set
+    queued_units: float = 0.0
     done_units: float = 0.0
-    working: bool = False
+    busy: bool = False
 
     def capacity(self) -> float:
-        """Set-ups a second at this moment."""
-        making, share = self.making, 1.0
-        if self.started is not None and making.cold_time:
-            if making.warm_up == "by work":
-                age = self.done_units / (making.capacity * making.cold_time)
+        """Return the present capacity in set-ups a second."""
+        config, share = self.config, 1.0
+        if self.started is not None and config.cold_time:
+            if config.warm_up == "by work":
+                age = self.done_units / (config.capacity * config.cold_time)
             else:
-                age = (self.now() - self.started) / making.cold_time
-            share = making.cold_share + (1 - making.cold_share) * warmth(making.warm_up, age)
-        return making.capacity * share / self.slowness()
+                age = (self.now() - self.started) / config.cold_time
+            share = config.cold_share + (1 - config.cold_share) * warmth(config.warm_up, age)
+        return config.capacity * share / self.slowdown()
 
-    def slowness(self) -> float:
-        """How many times slower than it should be."""
-        slow = self.slow
+    def slowdown(self) -> float:
+        """Return the factor on service times from the faults "slow" and "ageing"."""
+        factor = self.slow
         if self.ageing is not None:
-            since, doubles = self.ageing
-            slow *= 2.0 ** max((self.now() - since) / doubles, 0.0)
-        return slow
+            start, doubling_time = self.ageing
+            factor *= 2.0 ** max((self.now() - start) / doubling_time, 0.0)
+        return factor
 
     def wait(self) -> float:
-        """What a set-up that comes now would wait (s)."""
-        return self.units / self.capacity()
+        """Return how long a set-up that arrives now would wait (s)."""
+        return self.queued_units / self.capacity()
 
     def set_ups(self) -> int:
-        """Set-ups that wait."""
-        return sum(1 for work in self.waiting if work.set_up and not work.dropped)
-
-    def work(self, units: float, what: Callable[[], None], set_up: bool = False, first: bool = False) -> Work:
-        """Queue work.  `first`: an answer or a release."""
-        one = Work(units, what, set_up)
-        (self.ahead if first and self.making.first else self.waiting).append(one)
-        self.units += units
+        """Return the number of set-ups in the queue."""
+        return sum(1 for item in self.queue if item.is_set_up and not item.dropped)
+
+    def work(
+        self, units: float, action: Callable[[], None], set_up: bool = False, first: bool = False
+    ) -> WorkItem:
+        """Queue work and return its item.  `first`: the work is an answer or a release."""
+        item = WorkItem(units, action, set_up)
+        (self.priority_queue if first and self.config.first else self.queue).append(item)
+        self.queued_units += units
         self.next()
-        return one
+        return item
 
-    def drop(self, work: Work) -> None:
-        """Work that waits is not wanted any more; what is being worked on goes on to its end."""
-        if not work.dropped and (work in self.waiting or work in self.ahead):
-            work.dropped = True
-            self.units -= work.units
+    def drop(self, item: WorkItem) -> None:
+        """Cancel queued work; work in service is finished."""
+        if not item.dropped and (item in self.queue or item in self.priority_queue):
+            item.dropped = True
+            self.queued_units -= item.units
 
     def next(self) -> None:
-        """Begin on the next piece, if there is one and the processor is free and sound."""
-        while not (self.working or self.hung) and (self.ahead or self.waiting):
-            one = (self.ahead or self.waiting).popleft()
-            if one.dropped:
+        """Start on the next item, if there is one and the processor is neither busy nor hung."""
+        while not (self.busy or self.hung) and (self.priority_queue or self.queue):
+            item = (self.priority_queue or self.queue).popleft()
+            if item.dropped:
                 continue
-            self.working = True
-            self.units -= one.units
-            if not (self.ahead or self.waiting):
-                self.units = 0.0  # no sum of roundings is left
-            self.later(one.units / self.capacity(), lambda one=one: self._finished(one))  # type: ignore[misc]
-
-    def _finished(self, one: Work) -> None:
-        self.working = False
+            self.busy = True
+            self.queued_units -= item.units
+            if not (self.priority_queue or self.queue):
+                self.queued_units = 0.0  # removes accumulated rounding errors
+            self.schedule(item.units / self.capacity(), lambda item=item: self._finish(item))  # type: ignore[misc]
+
+    def _finish(self, item: WorkItem) -> None:
+        self.busy = False
         if self.hung:
-            self.ahead.appendleft(one)
-            self.units += one.units
+            self.priority_queue.appendleft(item)
+            self.queued_units += item.units
             return
-        self.done_units += one.units
-        one.what()
+        self.done_units += item.units
+        item.action()
         self.next()
--- a/eiderstep/standin/proxy.py
+++ b/eiderstep/standin/proxy.py
@@ -1,4 +1,7 @@
-"""A TCP proxy between two elements that drops, delays, resets and cuts.  It looks at no byte."""
+"""A TCP proxy between two elements that discards or delays data and resets or refuses connections.
+
+It does not interpret the data.
+"""
 
 from __future__ import annotations
 
@@ -8,103 +11,105 @@
 from eiderstep.sip.message import split_address
 
 
-class _End(asyncio.Protocol):
+class _Side(asyncio.Protocol):
     """One side of a proxied connection."""
 
-    def __init__(self, proxy: Proxy, near: bool = False) -> None:
-        self.proxy, self.near = proxy, near
+    def __init__(self, proxy: Proxy, is_client_side: bool = False) -> None:
+        self.proxy, self.is_client_side = proxy, is_client_side
         self.transport: Any = None
-        self.other: _End | None = None
-        self.held: list[bytes] = []
+        self.other_side: _Side | None = None
+        self.buffered: list[bytes] = []  # data received before the target is connected
 
     def connection_made(self, transport: Any) -> None:
         self.transport = transport
-        self.proxy.ends.append(self)
-        if self.near:
-            self.proxy.loop.create_task(self.proxy.join(self))
+        self.proxy.sides.append(self)
+        if self.is_client_side:
+            self.proxy.loop.create_task(self.proxy.connect_target(self))
 
     def data_received(self, data: bytes) -> None:
         if self.proxy.drop:
             return
-        if self.other is None:
-            self.held.append(data)
+        if self.other_side is None:
+            self.buffered.append(data)
         elif self.proxy.delay:
-            other = self.other
-            self.proxy.loop.call_later(self.proxy.delay, lambda: other.pass_on(data))
+            other = self.other_side
+            self.proxy.loop.call_later(self.proxy.delay, lambda: other.forward(data))
         else:
-            self.other.pass_on(data)
+            self.other_side.forward(data)
 
-    def pass_on(self, data: bytes) -> None:
+    def forward(self, data: bytes) -> None:
         if not self.transport.is_closing():
             self.transport.write(data)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        if self in self.proxy.ends:
-            self.proxy.ends.remove(self)
-        if self.other is not None and not self.other.transport.is_closing():
-            self.other.transport.abort() if exc else self.other.transport.close()
+        if self in self.proxy.sides:
+            self.proxy.sides.remove(self)
+        if self.other_side is not None and not self.other_side.transport.is_closing():
+            self.other_side.transport.abort() if exc else self.other_side.transport.close()
 
 
 class Proxy:
-    """Listens at `address` and passes on to `target`.
+    """Listens at `address` and forwards connections to `target`.
 
-    `host`: where it listens; `dials_from`: the address that the far side sees, that of who uses the proxy.
+    `host`: the address to listen on; `source_host`: the source address of connections to the target, so that
+    the target sees the address of the client.
     """
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, target: str, host: str = "127.0.0.1", dials_from: str = ""
+        self, loop: asyncio.AbstractEventLoop, target: str, host: str = "127.0.0.1", source_host: str = ""
     ) -> None:
-        self.loop, self.target, self.host, self.dials_from = loop, target, host, dials_from
-        self.drop = False  # bytes vanish, connections stay
+        self.loop, self.target, self.host, self.source_host = loop, target, host, source_host
+        self.drop = False  # data are discarded, connections stay open
         self.delay = 0.0  # seconds, each way
         self.refuse = False  # new connections are closed at once
-        self.ends: list[_End] = []
+        self.sides: list[_Side] = []
         self.server: Any = None
         self.address = ""
 
     async def listen(self) -> str:
         self.server = await self.loop.create_server(self._accept, self.host, 0)
-        name = self.server.sockets[0].getsockname()
-        self.address = f"{name[0]}:{name[1]}"
+        bound = self.server.sockets[0].getsockname()
+        self.address = f"{bound[0]}:{bound[1]}"
         return self.address
 
-    def _accept(self) -> _End:
-        return _End(self, near=True)
+    def _accept(self) -> _Side:
+        return _Side(self, is_client_side=True)
 
-    async def join(self, near: _End) -> None:
+    async def connect_target(self, client_side: _Side) -> None:
+        """Connect the other side of a new client connection; abort that connection if this fails."""
         while self.drop and not self.refuse:
-            await asyncio.sleep(0.05)  # the far side is not reached until it is mended
-        if self.refuse or near.transport.is_closing():
-            near.transport.abort()
+            await asyncio.sleep(0.05)  # the target is not reached while data are discarded
+        if self.refuse or client_side.transport.is_closing():
+            client_side.transport.abort()
             return
-        far = _End(self)
+        target_side = _Side(self)
         try:
-            extra: dict[str, Any] = {"local_addr": (self.dials_from, 0)} if self.dials_from else {}
-            await self.loop.create_connection(lambda: far, *split_address(self.target), **extra)
+            options: dict[str, Any] = {"local_addr": (self.source_host, 0)} if self.source_host else {}
+            await self.loop.create_connection(lambda: target_side, *split_address(self.target), **options)
         except OSError:
-            near.transport.abort()
+            client_side.transport.abort()
             return
-        near.other, far.other = far, near
-        held, near.held = near.held, []
-        for data in held:
-            far.pass_on(data)
+        client_side.other_side, target_side.other_side = target_side, client_side
+        buffered, client_side.buffered = client_side.buffered, []
+        for data in buffered:
+            target_side.forward(data)
 
     def reset(self) -> None:
-        """Break every connection."""
-        for end in list(self.ends):
-            end.transport.abort()
+        """Reset every connection."""
+        for side in list(self.sides):
+            side.transport.abort()
 
     def cut(self) -> None:
-        """Reset, and refuse until mended."""
+        """Reset every connection, and refuse new ones until `mend` is called."""
         self.refuse = True
         self.reset()
 
     def mend(self) -> None:
-        """New connections are taken again; what else is wrong with the way stays as it is."""
+        """Accept new connections again; `drop` and `delay` are left as they are."""
         self.refuse = False
 
     def close(self) -> None:
         if self.server is not None:
             self.server.close()
-        for end in list(self.ends):
-            end.transport.close()
+        for side in list(self.sides):
+            side.transport.close()
--- a/eiderstep/standin/register.py
+++ b/eiderstep/standin/register.py
@@ -1,4 +1,4 @@
-"""The exchange register: pushes its list as server-sent events over HTTP, late, or falls silent."""
+"""Stand-in of the exchange register: sends its list as server-sent events, with a lag or not at all."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass
 class Entry:
-    """One exchange.  `started` is when it started on the loop's clock, None for long ago."""
+    """One exchange in the list.  `started`: its start on the loop's clock (s), None if long ago."""
 
     office: str
     number: int
@@ -21,7 +21,7 @@
     zone: int = 0
 
 
-class _Client(asyncio.Protocol):
+class _Connection(asyncio.Protocol):
     def __init__(self, register: Register) -> None:
         self.register = register
         self.parser = httptools.HttpRequestParser(self)
@@ -49,23 +49,24 @@
             return
         head = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
         self.transport.write(head.encode())
-        self.push("complete", list(register.entries.values()))
+        self.send_event("complete", list(register.entries.values()))
         register.clients.append(self)
 
-    def push(self, kind: str, entries: list[Entry]) -> None:
-        """One event; ages are told as of now."""
+    def send_event(self, kind: str, entries: list[Entry]) -> None:
+        """Send one event, with the ages at the time of sending (s)."""
         now = self.register.loop.time()
         rows = [
             {
-                "office": e.office, "number": e.number, "state": e.state, "zone": e.zone,
-                "age": None if e.started is None else now - e.started,
+                "office": entry.office, "number": entry.number, "state": entry.state, "zone": entry.zone,
+                "age": None if entry.started is None else now - entry.started,
             }
-            for e in entries
+            for entry in entries
         ]  # fmt: skip
         event = msgspec.json.encode({"gen": self.register.gen, "kind": kind, "entries": rows})
-        self.chunk(b"data: " + event + b"\n\n")
+        self.send_chunk(b"data: " + event + b"\n\n")
 
-    def chunk(self, data: bytes) -> None:
+    def send_chunk(self, data: bytes) -> None:
+        """Send one chunk of the HTTP body."""
         if not self.transport.is_closing():
             self.transport.write(f"{len(data):x}\r\n".encode() + data + b"\r\n")
 
@@ -75,12 +76,16 @@
 
 
 class Register:
-    """The list, its followers, and what a script makes of it."""
+    """The register: its list, its clients, and the faults that a script injects.
+
+    `lag`: seconds until a change is sent; `beat`: seconds between heartbeats; `gen`: version of the list;
+    `silent`: requests and changes are ignored; `status`: HTTP status of responses, 200 if there is no fault.
+    """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, lag: float = 1.0, beat: float = 2.0) -> None:
-        self.loop, self.lag, self.beat = loop, lag, beat
+        self.loop, self.lag, self.heartbeat_interval = loop, lag, beat
         self.entries: dict[str, Entry] = {}
-        self.clients: list[_Client] = []
+        self.clients: list[_Connection] = []
         self.gen = 0
         self.silent = False
         self.status = 200
@@ -89,31 +94,31 @@
         self.closed = False
 
     async def listen(self) -> str:
-        self.server = await self.loop.create_server(lambda: _Client(self), "127.0.0.1", 0)
-        name = self.server.sockets[0].getsockname()
-        self.address = f"{name[0]}:{name[1]}"
-        self._beat()
+        self.server = await self.loop.create_server(lambda: _Connection(self), "127.0.0.1", 0)
+        bound = self.server.sockets[0].getsockname()
+        self.address = f"{bound[0]}:{bound[1]}"
+        self._send_heartbeats()
         return self.address
 
-    def _beat(self) -> None:
-        """A comment now and then, so that a follower can tell silence from calm."""
+    def _send_heartbeats(self) -> None:
+        """Send a comment periodically, so that clients can tell a dead register from an unchanged list."""
         if not self.closed:
             if not self.silent:
                 for client in self.clients:
-                    client.chunk(b": still here\n\n")
-            self.loop.call_later(self.beat, self._beat)
+                    client.send_chunk(b": still here\n\n")
+            self.loop.call_later(self.heartbeat_interval, self._send_heartbeats)
 
     def preset(self, entry: Entry) -> None:
-        """One that has long been listed."""
+        """Add an entry without sending an event, for an exchange listed before the clients connect."""
         self.entries[entry.office] = entry
 
     def died(self, number: int) -> None:
-        """An exchange has died without a word: nothing here notices."""
+        """Do nothing: this register does not notice that an exchange died without signing off."""
 
     def change(self, entry: Entry) -> None:
-        """News of one exchange, which followers hear after the lag."""
+        """Update the entry of one exchange and send it to the clients, after the lag."""
 
-        def tell() -> None:
+        def apply() -> None:
             if entry.state == "gone":
                 self.entries.pop(entry.office, None)
             else:
@@ -121,19 +126,19 @@
             self.gen += 1
             if not self.silent:
                 for client in list(self.clients):
-                    client.push("changes", [entry])
+                    client.send_event("changes", [entry])
 
         if self.lag:
-            self.loop.call_later(self.lag, tell)
+            self.loop.call_later(self.lag, apply)
         else:
-            tell()
+            apply()
 
     def fall_silent(self, seconds: float) -> None:
-        """Nothing is said for a while; then its followers find a gap and ask anew."""
+        """Send nothing for a while, then close the connections, so that clients get a full list again."""
         self.silent = True
-        self.loop.call_later(seconds, self._speak)
+        self.loop.call_later(seconds, self._end_silence)
 
-    def _speak(self) -> None:
+    def _end_silence(self) -> None:
         self.silent = False
         for client in list(self.clients):
             client.transport.close()
--- a/eiderstep/standin/stranger.py
+++ b/eiderstep/standin/stranger.py
@@ -1,8 +1,10 @@
-"""Strangers: they connect, lie, flood and dawdle, with all that an honest far end knows of its calls.
+"""Simulated attackers: forged messages, floods, slow senders and idle connections against a call server.
 
-Each attack is one message, made from a call that stands (its Call-ID, tags and branches are known to the
-attacker: the worst case), from where it is sent, and how it must be answered.  Somebody else's rule is the
-measure: nothing of what these send may change a call, a circuit or a figure of anybody else.
+Each attack is one message, the kind of address that it is sent from, and the statuses that may answer it.  It
+is made from a standing call; in the worst case assumed here the attacker knows the call's Call-ID, tags and
+branches.  No attack may change a call, a circuit or a counter of another party.
+
+Run as a module, it attacks from a process of its own and reads the standing calls from standard input.
 """
 
 from __future__ import annotations
@@ -20,110 +22,121 @@
 from eiderstep.sip.message import Message, request, response, split_address
 from eiderstep.sip.parser import BadMessage, Parser
 
-NOBODY, CALLER, EXCHANGE = "nobody", "caller", "exchange"  # from where it comes
+NOBODY, CALLER, EXCHANGE = "nobody", "caller", "exchange"  # kinds of senders; nobody: an unknown address
 
 
 @dataclass(frozen=True)
 class Victim:
-    """A call that stands: as its caller knows it, and as the far exchange does."""
+    """A standing call, with what its caller and the far exchange know of it."""
 
-    invite: Message  # the caller's
-    to: str  # with the tag that the caller got
-    set_up: Message  # what the far exchange got
-    far_to: str  # with the tag that it gave
-    group: str  # that the call stands on
-    number: str  # some number that can be called
-    cls: str
-    context: str
-    host: str = ""  # of the exchange at the far end of that group, who may say more
+    invite: Message  # sent by the caller
+    to: str  # To of the caller's dialog, with the tag that the caller got
+    set_up: Message  # INVITE that the far exchange received
+    far_to: str  # To of the far exchange's dialog, with the tag that it gave
+    group: str  # trunk group of the call
+    number: str  # a number that can be called
+    cls: str  # name of a call class
+    context: str  # trunk context
+    far_host: str = ""  # address of the exchange at the far end of the group; it does not attack this call
 
 
-Make = Callable[[Victim, int], Message | bytes]
+MessageFactory = Callable[[Victim, int], Message | bytes]
 
 
 @dataclass(frozen=True)
 class Attack:
-    """`answers`: statuses of which one must come, empty where none may; `made` from a victim and a count."""
+    """One attack.
+
+    `sender`: NOBODY, CALLER or EXCHANGE; `answers`: statuses that the response may have, empty if there must
+    be no response; `made`: builds the message from a victim and a serial number.
+    """
 
     sender: str
     answers: tuple[int, ...]
-    made: Make
+    made: MessageFactory
 
 
-def _plain(method: str, n: int, uri: str = "sip:x@x", call_id: str = "", cseq: int = 1) -> Message:
+def _request(method: str, serial: int, uri: str = "sip:x@x", call_id: str = "", cseq: int = 1) -> Message:
     return request(
-        method, uri, via=f"SIP/2.0/TCP s;branch=z9hG4bKs{n}", sender="<sip:s@s>;tag=s", to="<sip:x@x>",
-        call_id=call_id or f"s{n}", cseq=cseq,
+        method, uri, via=f"SIP/2.0/TCP s;branch=z9hG4bKs{serial}", sender="<sip:s@s>;tag=s", to="<sip:x@x>",
+        call_id=call_id or f"s{serial}", cseq=cseq,
     )  # fmt: skip
 
 
-def _with(message: Message, **headers: str) -> Message:
+def _with_headers(message: Message, **headers: str) -> Message:
     for name, value in headers.items():
         message.set(name.replace("_", "-"), value)
     return message
 
 
-def _trunk(v: Victim, group: str = "", context: str = "") -> str:
-    return fields.trunk_contact("s", group or v.group, context or v.context)
+def _trunk_contact(victim: Victim, group: str = "", context: str = "") -> str:
+    return fields.trunk_contact("s", group or victim.group, context or victim.context)
 
 
-def _notify(v: Victim, n: int, circuits: str = "0-65535", **more: str) -> Message:
-    made = {"contact": _trunk(v), "event": fields.CIRCUITS, "eiderstep_circuits": circuits}
-    return _with(_plain("NOTIFY", n), **{**made, **more})
+def _notify(victim: Victim, serial: int, circuits: str = "0-65535", **headers: str) -> Message:
+    defaults = {"contact": _trunk_contact(victim), "event": fields.CIRCUITS, "eiderstep_circuits": circuits}
+    return _with_headers(_request("NOTIFY", serial), **{**defaults, **headers})
 
 
-def _invite(v: Victim, n: int, **headers: str) -> Message:
-    return _with(_plain("INVITE", n, f"sip:{v.number}@x"), eiderstep_class=v.cls, **headers)
+def _invite(victim: Victim, serial: int, **headers: str) -> Message:
+    return _with_headers(
+        _request("INVITE", serial, f"sip:{victim.number}@x"), eiderstep_class=victim.cls, **headers
+    )
 
 
-def _seizure(v: Victim, n: int, circuits: str = "0", **more: str) -> Message:
-    return _invite(v, n, **{"contact": _trunk(v), "eiderstep_circuits": circuits, **more})
+def _seizure(victim: Victim, serial: int, circuits: str = "0", **headers: str) -> Message:
+    return _invite(
+        victim, serial, **{"contact": _trunk_contact(victim), "eiderstep_circuits": circuits, **headers}
+    )
 
 
-def _bye(v: Victim, n: int, cseq: int = 99) -> Message:
-    made = _plain("BYE", n, call_id=v.invite.call_id, cseq=cseq)
-    return _with(made, **{"from": v.invite.get("from"), "to": v.to})
+def _bye(victim: Victim, serial: int, cseq: int = 99) -> Message:
+    message = _request("BYE", serial, call_id=victim.invite.call_id, cseq=cseq)
+    return _with_headers(message, **{"from": victim.invite.get("from"), "to": victim.to})
 
 
-def _far_bye(v: Victim, n: int, cause: int = fields.NETWORK_OUT) -> Message:
-    made = _plain("BYE", n, call_id=v.set_up.call_id, cseq=99)
-    headers = {"from": v.far_to, "to": v.set_up.get("from"), "reason": fields.reason(cause)}
-    return _with(made, **headers)
+def _far_bye(victim: Victim, serial: int, cause: int = fields.NETWORK_OUT) -> Message:
+    message = _request("BYE", serial, call_id=victim.set_up.call_id, cseq=99)
+    headers = {"from": victim.far_to, "to": victim.set_up.get("from"), "reason": fields.reason(cause)}
+    return _with_headers(message, **headers)
 
 
-def _inner(v: Victim, n: int) -> Message:
-    return _with(_invite(v, n), **{"call-id": v.invite.call_id, "from": v.invite.get("from"), "to": v.to})
+def _reinvite(victim: Victim, serial: int) -> Message:
+    return _with_headers(
+        _invite(victim, serial),
+        **{"call-id": victim.invite.call_id, "from": victim.invite.get("from"), "to": victim.to},
+    )
 
 
-def _ack(v: Victim, n: int) -> Message:
-    made = _plain("ACK", n, call_id=v.invite.call_id, cseq=v.invite.cseq)
-    return _with(made, **{"from": v.invite.get("from"), "to": v.to})
+def _ack(victim: Victim, serial: int) -> Message:
+    message = _request("ACK", serial, call_id=victim.invite.call_id, cseq=victim.invite.cseq)
+    return _with_headers(message, **{"from": victim.invite.get("from"), "to": victim.to})
 
 
-def _answer(v: Victim, status: int, **headers: str) -> Message:
-    made = response(v.set_up, status, "forged")
-    return _with(made, contact="<sip:s@s>", **headers)
+def _forged_response(victim: Victim, status: int, **headers: str) -> Message:
+    message = response(victim.set_up, status, "forged")
+    return _with_headers(message, contact="<sip:s@s>", **headers)
 
 
-def _raw(n: int, cseq: str = "1", more: str = "") -> bytes:
-    """An INVITE as text, with what `more` has and the codec would not write."""
+def _raw_invite(serial: int, cseq: str = "1", header_lines: str = "") -> bytes:
+    """Return an INVITE as text, with header lines that the codec would not write."""
     return (
-        f"INVITE sip:a@b SIP/2.0\r\nVia: SIP/2.0/TCP s;branch=z9hG4bKr{n}\r\nFrom: <sip:a@b>;tag=1\r\n"
-        f"To: <sip:a@b>\r\nCall-ID: r{n}\r\nCSeq: {cseq} INVITE\r\n{more}\r\n"
+        f"INVITE sip:a@b SIP/2.0\r\nVia: SIP/2.0/TCP s;branch=z9hG4bKr{serial}\r\nFrom: <sip:a@b>;tag=1\r\n"
+        f"To: <sip:a@b>\r\nCall-ID: r{serial}\r\nCSeq: {cseq} INVITE\r\n{header_lines}\r\n"
     ).encode()
 
 
-def _merged(v: Victim, n: int) -> Message:
-    """The caller's own INVITE, replayed."""
-    headers = {k: list(x) for k, x in v.invite.headers.items()}
-    made = Message("INVITE", v.invite.uri, 0, "", headers)
-    return _with(made, eiderstep_class=v.cls, via=f"SIP/2.0/TCP s;branch=z9hG4bKs{n}")
+def _replayed_invite(victim: Victim, serial: int) -> Message:
+    """Return a copy of the caller's own INVITE, with another branch."""
+    headers = {name: list(values) for name, values in victim.invite.headers.items()}
+    message = Message("INVITE", victim.invite.uri, 0, "", headers)
+    return _with_headers(message, eiderstep_class=victim.cls, via=f"SIP/2.0/TCP s;branch=z9hG4bKs{serial}")
 
 
-TOO_LONG = b"OPTIONS sip:a@b SIP/2.0\r\n" + b"X: y\r\n" * 4000
-OTHER = b"GET / HTTP/1.1\r\nContent-Length: 0\r\n\r\n"
-HUGE = "Content-Length: 9999999999\r\n"
-EMPTY = "Content-Length: 0\r\n"
+OVERLONG_HEAD = b"OPTIONS sip:a@b SIP/2.0\r\n" + b"X: y\r\n" * 4000
+HTTP_REQUEST = b"GET / HTTP/1.1\r\nContent-Length: 0\r\n\r\n"
+HUGE_LENGTH = "Content-Length: 9999999999\r\n"
+ZERO_LENGTH = "Content-Length: 0\r\n"
 ATTACKS: dict[str, Attack] = {
     "circuits out, by nobody": Attack(NOBODY, (403,), _notify),
     "circuits out, by a caller": Attack(CALLER, (403,), _notify),
@@ -132,7 +145,7 @@
         EXCHANGE, (403, 400), lambda v, n: _notify(v, n, ",".join(["0-65535"] * 480))
     ),
     "circuits out, another context": Attack(
-        EXCHANGE, (403,), lambda v, n: _notify(v, n, contact=_trunk(v, context="elsewhere"))
+        EXCHANGE, (403,), lambda v, n: _notify(v, n, contact=_trunk_contact(v, context="elsewhere"))
     ),
     "circuits out, no group": Attack(EXCHANGE, (400,), lambda v, n: _notify(v, n, contact="<sip:s@s>")),
     "circuits out, another event": Attack(EXCHANGE, (489,), lambda v, n: _notify(v, n, event="dialog")),
@@ -143,59 +156,61 @@
     "BYE as the far end, by nobody": Attack(NOBODY, (403,), _far_bye),
     "BYE as the far end, by a caller": Attack(CALLER, (481,), _far_bye),
     "BYE as the far end, by another exchange": Attack(EXCHANGE, (481,), _far_bye),
-    "BYE of no call": Attack(CALLER, (481,), lambda v, n: _with(_bye(v, n), to="<sip:x@x>;tag=none")),
+    "BYE of no call": Attack(CALLER, (481,), lambda v, n: _with_headers(_bye(v, n), to="<sip:x@x>;tag=none")),
     "BYE with a guessed Call-ID": Attack(
-        CALLER, (481,), lambda v, n: _with(_bye(v, n), call_id=f"{v.invite.call_id}{n}")
+        CALLER, (481,), lambda v, n: _with_headers(_bye(v, n), call_id=f"{v.invite.call_id}{n}")
     ),
     "CANCEL, by nobody": Attack(NOBODY, (403,), lambda v, n: cancel(v.invite)),
     "CANCEL, by another caller": Attack(CALLER, (481,), lambda v, n: cancel(v.invite)),
     "CANCEL, by another exchange": Attack(EXCHANGE, (481,), lambda v, n: cancel(v.invite)),
     "CANCEL of the set-up, by a caller": Attack(CALLER, (481,), lambda v, n: cancel(v.set_up)),
-    "re-INVITE, by nobody": Attack(NOBODY, (403,), _inner),
-    "re-INVITE, by another caller": Attack(CALLER, (481,), _inner),
+    "re-INVITE, by nobody": Attack(NOBODY, (403,), _reinvite),
+    "re-INVITE, by another caller": Attack(CALLER, (481,), _reinvite),
     "ACK, by nobody": Attack(NOBODY, (), _ack),
     "ACK, by another caller": Attack(CALLER, (), _ack),
     "ACK, by another exchange": Attack(EXCHANGE, (), _ack),
-    "INVITE replayed, by nobody": Attack(NOBODY, (403,), _merged),
+    "INVITE replayed, by nobody": Attack(NOBODY, (403,), _replayed_invite),
     "seizure, by nobody": Attack(NOBODY, (403,), _seizure),
     "seizure, by a caller": Attack(CALLER, (403,), _seizure),
     "seizure, by another exchange": Attack(EXCHANGE, (403,), _seizure),
     "seizure without a group": Attack(CALLER, (403,), lambda v, n: _invite(v, n, eiderstep_circuits="0")),
     "seizure of a group that is nobody's": Attack(
-        EXCHANGE, (403,), lambda v, n: _seizure(v, n, contact=_trunk(v, "7000-7001"))
+        EXCHANGE, (403,), lambda v, n: _seizure(v, n, contact=_trunk_contact(v, "7000-7001"))
     ),
     "call, by nobody": Attack(NOBODY, (403,), _invite),
     "call, by an exchange": Attack(EXCHANGE, (403,), _invite),
     "advice, by a caller": Attack(CALLER, (403,), lambda v, n: _invite(v, n, eiderstep_advice="1")),
     "marks, by nobody": Attack(NOBODY, (403,), lambda v, n: _invite(v, n, eiderstep_marks="cut")),
-    "OPTIONS, by nobody": Attack(NOBODY, (403,), lambda v, n: _plain("OPTIONS", n)),
-    "REGISTER, by nobody": Attack(NOBODY, (403,), lambda v, n: _plain("REGISTER", n)),
-    "REGISTER, by a caller": Attack(CALLER, (405,), lambda v, n: _plain("REGISTER", n)),
-    "200 to a set-up, by nobody": Attack(NOBODY, (), lambda v, n: _answer(v, 200)),
-    "200 to a set-up, by a caller": Attack(CALLER, (), lambda v, n: _answer(v, 200)),
-    "200 to a set-up, by another exchange": Attack(EXCHANGE, (), lambda v, n: _answer(v, 200)),
-    "503 to a set-up, by another exchange": Attack(EXCHANGE, (), lambda v, n: _answer(v, 503)),
+    "OPTIONS, by nobody": Attack(NOBODY, (403,), lambda v, n: _request("OPTIONS", n)),
+    "REGISTER, by nobody": Attack(NOBODY, (403,), lambda v, n: _request("REGISTER", n)),
+    "REGISTER, by a caller": Attack(CALLER, (405,), lambda v, n: _request("REGISTER", n)),
+    "200 to a set-up, by nobody": Attack(NOBODY, (), lambda v, n: _forged_response(v, 200)),
+    "200 to a set-up, by a caller": Attack(CALLER, (), lambda v, n: _forged_response(v, 200)),
+    "200 to a set-up, by another exchange": Attack(EXCHANGE, (), lambda v, n: _forged_response(v, 200)),
+    "503 to a set-up, by another exchange": Attack(EXCHANGE, (), lambda v, n: _forged_response(v, 503)),
     "load report, by a caller": Attack(
-        CALLER, (), lambda v, n: _answer(v, 503, eiderstep_waiting="9999", eiderstep_pause="999999")
+        CALLER, (), lambda v, n: _forged_response(v, 503, eiderstep_waiting="9999", eiderstep_pause="999999")
     ),
-    "another protocol": Attack(NOBODY, (), lambda v, n: OTHER),
+    "another protocol": Attack(NOBODY, (), lambda v, n: HTTP_REQUEST),
     "a start line without end": Attack(CALLER, (), lambda v, n: b"INVITE sip:" + b"a" * 5000),
-    "a head without end": Attack(CALLER, (), lambda v, n: TOO_LONG),
-    "no length on a stream": Attack(CALLER, (400,), lambda v, n: _raw(n)),
-    "a body of gigabytes": Attack(CALLER, (413,), lambda v, n: _raw(n, "1", HUGE)),
-    "a CSeq beyond all": Attack(CALLER, (400,), lambda v, n: _raw(n, "9" * 20, EMPTY)),
-    "two From": Attack(CALLER, (400,), lambda v, n: _raw(n, "1", EMPTY + "From: <sip:b@b>;tag=2\r\n")),
-    "no number in the dial plan": Attack(CALLER, (404,), lambda v, n: _with(
-        _plain("INVITE", n, "sip:nobody@x"), eiderstep_class=v.cls)),
+    "a head without end": Attack(CALLER, (), lambda v, n: OVERLONG_HEAD),
+    "no length on a stream": Attack(CALLER, (400,), lambda v, n: _raw_invite(n)),
+    "a body of gigabytes": Attack(CALLER, (413,), lambda v, n: _raw_invite(n, "1", HUGE_LENGTH)),
+    "a CSeq beyond all": Attack(CALLER, (400,), lambda v, n: _raw_invite(n, "9" * 20, ZERO_LENGTH)),
+    "two From": Attack(
+        CALLER, (400,), lambda v, n: _raw_invite(n, "1", ZERO_LENGTH + "From: <sip:b@b>;tag=2\r\n")
+    ),
+    "no number in the dial plan": Attack(CALLER, (404,), lambda v, n: _with_headers(
+        _request("INVITE", n, "sip:nobody@x"), eiderstep_class=v.cls)),
 }  # fmt: skip
 
 
-def coded(made: Message | bytes) -> bytes:
-    return made if isinstance(made, bytes) else made.encode()
+def coded(message: Message | bytes) -> bytes:
+    return message if isinstance(message, bytes) else message.encode()
 
 
-class Wire(asyncio.Protocol):
-    """One connection of an attacker; counts what comes back."""
+class Connection(asyncio.Protocol):
+    """One connection of an attacker; counts the responses by status.  `came` is set by data and by a loss."""
 
     def __init__(self) -> None:
         self.transport: Any = None
@@ -208,7 +223,7 @@
 
     def data_received(self, data: bytes) -> None:
         for item in self.parser.feed(data):
-            # An answer echoes what is wrong with its request, and cannot be read for the same reason.
+            # A response copies headers of its request; if those are malformed, it does not parse either.
             message = item.message if isinstance(item, BadMessage) else item
             status = message.status if message is not None else 0
             self.statuses[status] = self.statuses.get(status, 0) + 1
@@ -220,7 +235,11 @@
 
 
 class Stranger:
-    """Attackers at some addresses, at a rate.  `hosts`: by sender; `victims`: calls that stand just now."""
+    """Sends attacks from several addresses.
+
+    `hosts`: source addresses by kind of sender; `victims`: returns the calls that stand at the moment;
+    `rate`: attacks a second; `sent`: number of attacks by name.
+    """
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, server: str, hosts: dict[str, list[str]],
@@ -228,99 +247,99 @@
     ) -> None:  # fmt: skip
         self.loop, self.server, self.hosts, self.victims = loop, server, hosts, victims
         self.rng, self.rate = rng, rate
-        self.wires: dict[str, Wire] = {}
-        self.idle: list[Any] = []
+        self.connections: dict[str, Connection] = {}
+        self.idle_transports: list[Any] = []
         self.sent: dict[str, int] = {}
-        self.statuses: dict[int, int] = {}
-        self.over = False
+        self.status_counts: dict[int, int] = {}
+        self.stopped = False
 
-    async def connect(self, host: str) -> Wire | None:
-        """A connection from an address; None where it is closed at once."""
+    async def connect(self, host: str) -> Connection | None:
+        """Connect from an address; None if the connection is refused."""
         try:
-            _, wire = await self.loop.create_connection(
-                Wire, *split_address(self.server), local_addr=(host, 0)
+            _, connection = await self.loop.create_connection(
+                Connection, *split_address(self.server), local_addr=(host, 0)
             )
         except OSError:
             return None
-        return wire
+        return connection
 
     async def run(self, seconds: float) -> None:
-        """Send attacks drawn by lot until the time is over; slow writers and idle connections beside them."""
-        ends, n = self.loop.time() + seconds, 0
+        """Send random attacks for that long, with slow writers and idle connections beside them."""
+        ends, serial = self.loop.time() + seconds, 0
         names = sorted(ATTACKS)
         for host in self.hosts[NOBODY] + self.hosts[CALLER]:
             for _ in range(20):
-                wire = await self.connect(host)
-                if wire is not None:
-                    wire.transport.write(b"INVITE sip:")
-                    self.idle.append(wire.transport)
-        at = self.loop.time()
-        while self.loop.time() < ends and not self.over:
-            at += 0.02
-            await asyncio.sleep(max(at - self.loop.time(), 0.0))
+                connection = await self.connect(host)
+                if connection is not None:
+                    connection.transport.write(b"INVITE sip:")
+                    self.idle_transports.append(connection.transport)
+        next_at = self.loop.time()
+        while self.loop.time() < ends and not self.stopped:
+            next_at += 0.02
+            await asyncio.sleep(max(next_at - self.loop.time(), 0.0))
             victims = self.victims()
             for _ in range(round(self.rate * 0.02) if victims else 0):
                 name = names[self.rng.randrange(len(names))]
-                n += 1
-                await self._send(name, victims[self.rng.randrange(len(victims))], n)
-            for transport in self.idle:
+                serial += 1
+                await self._send(name, victims[self.rng.randrange(len(victims))], serial)
+            for transport in self.idle_transports:
                 if not transport.is_closing() and self.rng.random() < 0.02:
                     transport.write(b"x")
         self.close()
 
-    async def _send(self, name: str, victim: Victim, n: int) -> None:
+    async def _send(self, name: str, victim: Victim, serial: int) -> None:
         attack = ATTACKS[name]
-        hosts = [host for host in self.hosts[attack.sender] if host != victim.host]
+        hosts = [host for host in self.hosts[attack.sender] if host != victim.far_host]
         if not hosts:
             return
         host = hosts[self.rng.randrange(len(hosts))]
-        wire = self.wires.get(host)
-        if wire is None or wire.lost.is_set() or wire.transport.is_closing():
-            if wire is not None:
-                self._count(wire)
-            wire = await self.connect(host)
-            if wire is None:
+        connection = self.connections.get(host)
+        if connection is None or connection.lost.is_set() or connection.transport.is_closing():
+            if connection is not None:
+                self._add_statuses(connection)
+            connection = await self.connect(host)
+            if connection is None:
                 return
-            self.wires[host] = wire
+            self.connections[host] = connection
         self.sent[name] = self.sent.get(name, 0) + 1
-        wire.transport.write(coded(attack.made(victim, n)))
+        connection.transport.write(coded(attack.made(victim, serial)))
 
-    def _count(self, wire: Wire) -> None:
-        for status, count in wire.statuses.items():
-            self.statuses[status] = self.statuses.get(status, 0) + count
-        wire.statuses = {}
+    def _add_statuses(self, connection: Connection) -> None:
+        for status, count in connection.statuses.items():
+            self.status_counts[status] = self.status_counts.get(status, 0) + count
+        connection.statuses = {}
 
     def close(self) -> None:
-        """All connections go."""
-        self.over = True
-        for wire in self.wires.values():
-            self._count(wire)
-            wire.transport.abort()
-        for transport in self.idle:
+        """Stop, and reset all connections."""
+        self.stopped = True
+        for connection in self.connections.values():
+            self._add_statuses(connection)
+            connection.transport.abort()
+        for transport in self.idle_transports:
             transport.abort()
 
 
 def told(victims: list[Victim]) -> str:
-    """Victims as a line, for attackers in a process of their own."""
+    """Return victims as a line of JSON, for attackers in a process of their own."""
     rows = [
         [v.invite.encode().decode("latin-1"), v.to, v.set_up.encode().decode("latin-1"), v.far_to, v.group,
-         v.number, v.cls, v.context, v.host]
+         v.number, v.cls, v.context, v.far_host]
         for v in victims
     ]  # fmt: skip
     return json.dumps(rows) + "\n"
 
 
-def heard(line: str) -> list[Victim]:
-    """The same, read."""
-    found: list[Victim] = []
+def victims_from_json(line: str) -> list[Victim]:
+    """Return the victims in a line that `told` made."""
+    victims: list[Victim] = []
     for invite, to, set_up, *rest in json.loads(line):
         pair = [item for text in (invite, set_up) for item in Parser().feed(text.encode("latin-1"))]
         if len(pair) == 2 and all(isinstance(item, Message) for item in pair):
-            found.append(Victim(pair[0], to, pair[1], *rest))  # type: ignore[arg-type]
-    return found
+            victims.append(Victim(pair[0], to, pair[1], *rest))  # type: ignore[arg-type]
+    return victims
 
 
-async def _apart(server: str, hosts: str, rate: float, seconds: float, seed: int) -> None:
+async def _run_as_process(server: str, hosts: str, rate: float, seconds: float, seed: int) -> None:
     loop, victims = asyncio.get_running_loop(), list[Victim]()
 
     class Input(asyncio.Protocol):
@@ -329,16 +348,18 @@
         def data_received(self, data: bytes) -> None:
             *lines, self.rest = (self.rest + data).split(b"\n")
             if lines:
-                victims[:] = heard(lines[-1].decode())
+                victims[:] = victims_from_json(lines[-1].decode())
 
         def connection_lost(self, exc: Exception | None) -> None:
-            one.over = True
+            attacker.stopped = True
 
-    one = Stranger(loop, server, json.loads(hosts), lambda: victims, Random(seed), rate)
+    attacker = Stranger(loop, server, json.loads(hosts), lambda: victims, Random(seed), rate)
     await loop.connect_read_pipe(Input, sys.stdin)
-    await one.run(seconds)
-    print(json.dumps({"sent": one.sent, "statuses": one.statuses}), flush=True)
+    await attacker.run(seconds)
+    print(json.dumps({"sent": attacker.sent, "statuses": attacker.status_counts}), flush=True)
 
 
 if __name__ == "__main__":
-    asyncio.run(_apart(sys.argv[1], sys.argv[2], float(sys.argv[3]), float(sys.argv[4]), int(sys.argv[5])))
+    asyncio.run(
+        _run_as_process(sys.argv[1], sys.argv[2], float(sys.argv[3]), float(sys.argv[4]), int(sys.argv[5]))
+    )
