--- a/eiderstep/standin/callers.py
+++ b/eiderstep/standin/callers.py
@@ -76,11 +76,11 @@
     """All callers of one exchange, sharing a few connections to its call server."""
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, server: str, rng: Random, manners: Manners,
+        self, loop: asyncio.AbstractEventLoop, server: str, rng: Random, behaviour: Manners,
         connections: int = 4, name: str = "callers",
     ) -> None:  # fmt: skip
         super().__init__(loop, name, rng)
-        self.server_address, self.manners, self.connection_count = server, manners, connections
+        self.server_address, self.manners, self.connection_count = server, behaviour, connections
         self.address = "127.0.0.1:9"
         self.flows_up: list[int] = []
         self.asks: list[CallIntent] = []
@@ -97,9 +97,9 @@
             flow = await self.dial(self.server_address)
             self.flows_up.append(flow)
 
-    def offer(self, cls: Class, number: str) -> CallIntent:
+    def offer(self, call_class: Class, number: str) -> CallIntent:
         """Start the first attempt of a new caller."""
-        intent = CallIntent(cls, number, self.loop.time(), aim_start=self.loop.time())
+        intent = CallIntent(call_class, number, self.loop.time(), aim_start=self.loop.time())
         self.asks.append(intent)
         self._start_attempt(intent)
         return intent
@@ -111,14 +111,14 @@
             return
         flow = self.flows_up[self.rng.randrange(len(self.flows_up))]
         uri = f"sip:{intent.number}@{self.server_address}"
-        patience = self.manners.patience
+        give_up_time = self.manners.patience
         invite = request(
             "INVITE", uri, via=self.via(), sender=f"<sip:caller@{self.address}>;tag={self.new_id()}",
             to=f"<{uri}>", call_id=self.new_id(), cseq=1,
         )  # fmt: skip
         invite.set("contact", f"<sip:caller@{self.address}>")
-        invite.set("expires", str(-(-int(patience * 1000) // 1000)))
-        invite.set(fields.PATIENCE, str(int(patience * 1000)))
+        invite.set("expires", str(-(-int(give_up_time * 1000) // 1000)))
+        invite.set(fields.PATIENCE, str(int(give_up_time * 1000)))
         invite.set(fields.CLASS, intent.cls.name)
         invite.set("session-id", f"{self.rng.getrandbits(128):032x}")
         marks = (["redialled"] if self.manners.marks and intent.tries > 1 else []) + (
@@ -129,15 +129,17 @@
         attempt = CallAttempt(intent, invite, tx, self.loop.time())
         tx.owner = attempt
         if self.rng.random() < self.manners.leaves_early:
-            self.call_later(self.rng.random() * patience / 2, lambda: self._hang_up_early(attempt))
+            self.call_later(self.rng.random() * give_up_time / 2, lambda: self._hang_up_early(attempt))
         if self.look_wait is None:
-            self.call_later(patience + 0.02, lambda: self._give_up(attempt))
+            self.call_later(give_up_time + 0.02, lambda: self._give_up(attempt))
         else:
             # The processor's wait is read when the INVITE has arrived, as later work queues behind this call.
-            wait = self.look_wait
+            processor_wait = self.look_wait
             self.call_later(
                 ARRIVAL_DELAY,
-                lambda: self.call_later(patience + 0.02 + wait(), lambda: self._give_up(attempt)),
+                lambda: self.call_later(
+                    give_up_time + 0.02 + processor_wait(), lambda: self._give_up(attempt)
+                ),
             )
         self.pump()
 
--- a/eiderstep/standin/element.py
+++ b/eiderstep/standin/element.py
@@ -84,8 +84,8 @@
 class Element:
     """Listens at one address, connects to others, and runs SIP transactions over both.
 
-    `dead` is set by `die`; nothing is received, sent or run afterwards.  `malformed` describes received
-    messages that could not be parsed.
+    A killed element no longer receives, sends or runs anything.  `malformed` describes received messages that
+    could not be parsed.
     """
 
     def __init__(
@@ -196,7 +196,7 @@
             self.pump()
 
     def call_later(self, seconds: float, action: Callable[[], object]) -> None:
-        """Run `action` after a delay, unless the element is dead by then."""
+        """Run `action` after a delay, unless the element has been killed by then."""
 
         def run() -> None:
             if not self.dead:
--- a/eiderstep/standin/eureka.py
+++ b/eiderstep/standin/eureka.py
@@ -1,4 +1,4 @@
-"""The lease table of a Eureka peer: leases, response cache, deltas, replication.  HTTP: eureka_wire.py.
+"""The lease table of a Eureka peer: leases, response cache, deltas and replication, without HTTP.
 
 As in Netflix Eureka, responses come from a cache: a change appears in them `lag` seconds after it was made,
 reaches the other peers after `replication` seconds, and stays in the delta for `retention` seconds.  Expired
@@ -22,11 +22,7 @@
 
 @dataclass
 class Record:
-    """One registered instance.
-
-    `updated`, `registered` and `renewed` are ms of the registry's clock, `dirty` ms of the instance's clock,
-    `renew` and `duration` seconds.
-    """
+    """One registered instance and its lease."""
 
     app: str
     id: str
@@ -36,12 +32,12 @@
     status: str = "UP"
     status_override: str = ""
     vip: str = ""
-    dirty: int = 0
-    updated: int = 0
-    registered: int = 0
-    renewed: int = 0
-    renew: int = 30
-    duration: int = 90
+    dirty: int = 0  # ms of the instance's clock
+    updated: int = 0  # ms of the registry's clock
+    registered: int = 0  # ms of the registry's clock
+    renewed: int = 0  # ms of the registry's clock
+    renew: int = 30  # seconds
+    duration: int = 90  # seconds
     action: str = "ADDED"
 
     @property
@@ -120,14 +116,14 @@
 class Table:
     """The leases of one peer, and the cache that its responses are made from.
 
-    `epoch` returns the registry's clock in ms; `lag`, `replication` and `retention` are seconds.
+    `clock_ms` returns the registry's clock; `lag`, `replication` and `retention` are seconds.
     """
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, epoch: Callable[[], int], lag: float = 0.0,
+        self, loop: asyncio.AbstractEventLoop, clock_ms: Callable[[], int], lag: float = 0.0,
         replication: float = 0.05, retention: float = 180.0,
     ) -> None:  # fmt: skip
-        self.loop, self.epoch = loop, epoch
+        self.loop, self.epoch = loop, clock_ms
         self.lag, self.replication_delay, self.delta_retention = lag, replication, retention
         self.leases: dict[tuple[str, str], Record] = {}
         self.published: dict[tuple[str, str], Record] = {}
@@ -141,7 +137,7 @@
     # -- changes by clients and by eviction ----------------------------------------------------------------
 
     def register(self, record: Record, replicated: bool = False) -> None:
-        """POST: create or replace a lease, unless the one held has a later `dirty`."""
+        """POST: create or replace a lease, unless the one held has a later dirty timestamp."""
         key = (record.app, record.id)
         held = self.leases.get(key)
         if held is not None and held.dirty > record.dirty:
--- a/eiderstep/standin/eureka_wire.py
+++ b/eiderstep/standin/eureka_wire.py
@@ -1,4 +1,4 @@
-"""The HTTP server of a Eureka peer: the REST API over `eureka.Table`, with faults that a script injects."""
+"""The HTTP server of a Eureka peer: the REST API over a lease table, with faults that a script injects."""
 
 from __future__ import annotations
 
@@ -109,7 +109,7 @@
 class Eureka:
     """One registry peer on one listening socket.
 
-    `fault` is a key of LIES or empty; `affected_ids` are the ids of the instances that the fault concerns.
+    `fault` is the injected fault or empty; `affected_ids` are the ids of the instances that it concerns.
     """
 
     def __init__(
@@ -129,7 +129,7 @@
         self.closed = False
 
     async def listen(self, context: ssl.SSLContext | None = None, sweep: float = 0.0) -> str:
-        """Listen and return the address.  `sweep`: seconds between evictions of expired leases, 0: none."""
+        """Listen and return the address.  Expired leases are evicted at the interval (s), 0 for never."""
         options: dict[str, Any] = {"ssl": context} if context is not None else {}
         self.server = await self.loop.create_server(lambda: _Connection(self), "127.0.0.1", 0, **options)
         bound = self.server.sockets[0].getsockname()
--- a/eiderstep/standin/exchange.py
+++ b/eiderstep/standin/exchange.py
@@ -62,11 +62,11 @@
 
 
 class TrunkGroup:
-    """The numbered circuits to one neighbour, as this end sees them.  `busy`: leg by circuit."""
+    """The numbered circuits to one neighbour, as this end sees them."""
 
     def __init__(self, size: int, own: int, neighbour: int) -> None:
         self.size, self.blocked = size, set[int]()
-        self.busy: dict[int, object] = {}
+        self.busy: dict[int, object] = {}  # leg by circuit
         self.displaced: dict[
             int, list[object]
         ] = {}  # legs whose circuit the far end took over, until they end
@@ -157,21 +157,23 @@
 
 
 class Exchange(Element):
-    """One run of an exchange; a restart makes a new object with the same `Plant`."""
+    """One run of an exchange; a restart makes a new object with the same configuration."""
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, plant: Plant, rng: Random, started: float | None
+        self, loop: asyncio.AbstractEventLoop, config: Plant, rng: Random, started_at: float | None
     ) -> None:
-        super().__init__(loop, f"x{plant.number}", rng)
-        self.plant, self.started = plant, started
+        super().__init__(loop, f"x{config.number}", rng)
+        self.plant, self.started = config, started_at
         self.faults, self.tally = Faults(), Counters()
         self.neighbours: dict[int, str] = {}
-        self.trunks = {n: TrunkGroup(size, plant.number, n) for n, size in plant.circuits.items()}
+        self.trunks = {n: TrunkGroup(size, config.number, n) for n, size in config.circuits.items()}
         self.legs: dict[tuple[str, str], InboundLeg] = {}  # by Call-ID and local tag
         self.legs_out: dict[tuple[str, str], OutboundLeg] = {}  # by Call-ID and local tag
         self.legs_by_branch: dict[str, InboundLeg] = {}  # by branch of the INVITE, to match a CANCEL
-        config = Making(plant.capacity, plant.cold_share, plant.cold_time, plant.warm_up, plant.answers_first)
-        self.processor = Processor(config, loop.time, self.call_later, started)
+        processor_config = Making(
+            config.capacity, config.cold_share, config.cold_time, config.warm_up, config.answers_first
+        )
+        self.processor = Processor(processor_config, loop.time, self.call_later, started_at)
         self.reports: deque[tuple[float, fields.Load]] = deque()  # with their times; the first one is sent
         self.last_report_at = -1e9  # seconds
         self.calls_by_number: dict[str, int] = {}  # standing calls to each number with only a few lines
@@ -186,7 +188,7 @@
         self.processor.next()
 
     def load_report(self) -> fields.Load:
-        """Return the load report to send, renewed only once per `refresh` as in real exchanges."""
+        """Return the load report to send; as in real exchanges it is renewed only at intervals."""
         now, processor = self.loop.time(), self.processor
         if now - self.last_report_at >= self.plant.refresh:
             self.last_report_at, report = now, fields.Load()
@@ -202,7 +204,7 @@
         return self.reports[0][1]
 
     def _overloaded_while_cold(self) -> bool:
-        """Whether the set-ups within `fall_window` while cold are more than the exchange survives."""
+        """Whether a cold exchange got more set-ups within the window than it survives."""
         plant, now = self.plant, self.loop.time()
         if not plant.fall_multiple or self.started is None or now - self.started > plant.cold_time:
             return False
@@ -399,29 +401,31 @@
         outbound.tx.owner = outbound
         return True
 
-    def place(self, dest: int, via: int, number: str, cls: str, width: int, patience: float, hold: float,
-              done: Callable[[str], None] | None = None) -> None:  # fmt: skip
+    def place(
+        self, dest: int, via: int, number: str, class_name: str, width: int, give_up_time: float,
+        holding_time: float, on_end: Callable[[str], None] | None = None,
+    ) -> None:  # fmt: skip
         """Place a call of an own subscriber, sent to the neighbour `via`.  Times in seconds.
 
-        `done` is called once with how the set-up ended.
+        `on_end` is called once with how the set-up ended.
         """
         self.tally.own_attempts += 1
-        outbound = OutboundLeg(None, via, holding_time=hold, on_end=done)
+        outbound = OutboundLeg(None, via, holding_time=holding_time, on_end=on_end)
         template = Message("INVITE", f"sip:{number}@{self.address}", 0, "", {
-            fields.CLASS: [cls], fields.PATIENCE: [str(int(patience * 1000))],
+            fields.CLASS: [class_name], fields.PATIENCE: [str(int(give_up_time * 1000))],
             fields.CIRCUITS: [fields.write_circuits(tuple(range(width)))],
             "session-id": [f"{self.rng.getrandbits(128):032x}"],
         })  # fmt: skip
         if not self._send_outbound(outbound, template):
             self._report_end(outbound, "no circuit")
         else:
-            self.call_later(patience, lambda: self._drop(outbound) if outbound.state == "out" else None)
+            self.call_later(give_up_time, lambda: self._drop(outbound) if outbound.state == "out" else None)
         self.pump()
 
     def _report_end(self, outbound: OutboundLeg, outcome: str) -> None:
         if outbound.on_end is not None:
-            done, outbound.on_end = outbound.on_end, None
-            done(outcome)
+            on_end, outbound.on_end = outbound.on_end, None
+            on_end(outcome)
 
     def _drop(self, outbound: OutboundLeg) -> None:
         """Cancel a pending set-up, or release a standing call."""
--- a/eiderstep/standin/platform.py
+++ b/eiderstep/standin/platform.py
@@ -74,10 +74,7 @@
 
 
 class Office:
-    """One office with `size` circuits.
-
-    `reply` handles each set-up, by default by answering the call.
-    """
+    """One office with `size` circuits.  It answers every call unless a test sets another handler."""
 
     def __init__(self, name: str, number: int, size: int = 40) -> None:
         self.name, self.number, self.size = name, number, size
@@ -153,13 +150,12 @@
 class ChangeLog:
     """The change log: numbered events over HTTP long polls.
 
-    `polls` lists the event number that each poll started from.  `fault`: "cut" closes the connection in the
-    middle of a response, "silent" never responds.
+    `fault`: "cut" closes the connection in the middle of a response, "silent" never responds.
     """
 
     def __init__(self) -> None:
         self.events: list[dict[str, Any]] = []
-        self.polls: list[int] = []
+        self.polls: list[int] = []  # the event number that each poll started from
         self.fault = ""
         self.server: asyncio.Server | None = None
         self.port = 0
@@ -212,7 +208,7 @@
 
 
 class Caller(_Connection):
-    """One connection of a caller.  `heard` is the queue of received messages."""
+    """One connection of a caller, with a queue of received messages."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -227,9 +223,9 @@
         return wire
 
     def ask(self, call: str, dest: int, wait: int = 2000, figures: str = "", **more: bytes) -> None:
-        """Send a set-up.
+        """Send a set-up with a give-up time in ms.
 
-        `wait`: give-up time in ms; `more`: further parameters by the lower-case names of `isup` constants.
+        `more`: further parameters by the lower-case names of `isup` constants.
         """
         parameters = {
             isup.CLASS: b"voice", isup.PATIENCE: str(wait).encode(), isup.NUMBER: call.encode(),
--- a/eiderstep/standin/processor.py
+++ b/eiderstep/standin/processor.py
@@ -15,14 +15,14 @@
 
     `warm_up`: how the capacity grows from `cold_share` to the full capacity: linearly over `cold_time`; late
     (most of it in the last third, as when caches fill); in four steps; or by the work done, complete after
-    `cold_time` worth of work at full capacity.  `first`: answers and releases are served before set-ups.
+    `cold_time` worth of work at full capacity.
     """
 
     capacity: float = 60.0  # set-ups a second when warm
     cold_share: float = 0.3  # of the capacity, right after a start
     cold_time: float = 0.0
     warm_up: str = "linear"
-    first: bool = False
+    first: bool = False  # answers and releases are served before set-ups
 
 
 def warmth(shape: str, age: float) -> float:
@@ -49,19 +49,18 @@
 class Processor:
     """A single server with a queue.
 
-    `now()` returns seconds, and `schedule(seconds, action)` runs an action after a delay.  `started` is the
-    time of the start; None: so long ago that the processor is warm.
+    `now()` returns seconds, and `schedule(seconds, action)` runs an action after a delay.
     """
 
     config: Making
     now: Callable[[], float]
     schedule: Callable[[float, Callable[[], object]], None]
-    started: float | None
+    started: float | None  # time of the start; None: long ago, the processor is warm
     slow: float = 1.0  # factor on the time of all work
     hung: bool = False  # queues work and does none
     ageing: tuple[float, float] | None = None  # its start, and the time in which service times double
     queue: deque[WorkItem] = field(default_factory=deque)
-    priority_queue: deque[WorkItem] = field(default_factory=deque)  # answers and releases, with `first` set
+    priority_queue: deque[WorkItem] = field(default_factory=deque)  # answers and releases, if they go first
     queued_units: float = 0.0
     done_units: float = 0.0
     busy: bool = False
--- a/eiderstep/standin/proxy.py
+++ b/eiderstep/standin/proxy.py
@@ -100,7 +100,7 @@
             side.transport.abort()
 
     def cut(self) -> None:
-        """Reset every connection, and refuse new ones until `mend` is called."""
+        """Reset every connection, and refuse new ones from now on."""
         self.refuse = True
         self.reset()
 
--- a/eiderstep/standin/register.py
+++ b/eiderstep/standin/register.py
@@ -78,15 +78,17 @@
 class Register:
     """The register: its list, its clients, and the faults that a script injects.
 
-    `lag`: seconds until a change is sent; `beat`: seconds between heartbeats; `gen`: version of the list;
-    `silent`: requests and changes are ignored; `status`: HTTP status of responses, 200 if there is no fault.
+    `lag`: seconds until a change is sent; `heartbeat_interval`: seconds between heartbeats; `silent`: nothing
+    is sent; `status`: HTTP status of responses, 200 if there is no fault.
     """
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, lag: float = 1.0, beat: float = 2.0) -> None:
-        self.loop, self.lag, self.heartbeat_interval = loop, lag, beat
+    def __init__(
+        self, loop: asyncio.AbstractEventLoop, lag: float = 1.0, heartbeat_interval: float = 2.0
+    ) -> None:
+        self.loop, self.lag, self.heartbeat_interval = loop, lag, heartbeat_interval
         self.entries: dict[str, Entry] = {}
         self.clients: list[_Connection] = []
-        self.gen = 0
+        self.gen = 0  # version of the list
         self.silent = False
         self.status = 200
         self.server: Any = None
--- a/eiderstep/standin/stranger.py
+++ b/eiderstep/standin/stranger.py
@@ -45,15 +45,11 @@
 
 @dataclass(frozen=True)
 class Attack:
-    """One attack.
+    """One attack."""
 
-    `sender`: NOBODY, CALLER or EXCHANGE; `answers`: statuses that the response may have, empty if there must
-    be no response; `made`: builds the message from a victim and a serial number.
-    """
-
-    sender: str
-    answers: tuple[int, ...]
-    made: MessageFactory
+    sender: str  # kind of sender
+    answers: tuple[int, ...]  # statuses that the response may have; empty: there must be no response
+    made: MessageFactory  # makes the message from a victim and a serial number
 
 
 def _request(method: str, serial: int, uri: str = "sip:x@x", call_id: str = "", cseq: int = 1) -> Message:
@@ -210,13 +206,13 @@
 
 
 class Connection(asyncio.Protocol):
-    """One connection of an attacker; counts the responses by status.  `came` is set by data and by a loss."""
+    """One connection of an attacker; counts the responses by status."""
 
     def __init__(self) -> None:
         self.transport: Any = None
         self.parser, self.statuses = Parser(), dict[int, int]()
         self.lost: asyncio.Event = asyncio.Event()
-        self.came: asyncio.Event = asyncio.Event()
+        self.came: asyncio.Event = asyncio.Event()  # set by received data and by the loss of the connection
 
     def connection_made(self, transport: Any) -> None:
         self.transport = transport
@@ -322,15 +318,15 @@
 def told(victims: list[Victim]) -> str:
     """Return victims as a line of JSON, for attackers in a process of their own."""
     rows = [
-        [v.invite.encode().decode("latin-1"), v.to, v.set_up.encode().decode("latin-1"), v.far_to, v.group,
-         v.number, v.cls, v.context, v.far_host]
-        for v in victims
+        [victim.invite.encode().decode("latin-1"), victim.to, victim.set_up.encode().decode("latin-1"),
+         victim.far_to, victim.group, victim.number, victim.cls, victim.context, victim.far_host]
+        for victim in victims
     ]  # fmt: skip
     return json.dumps(rows) + "\n"
 
 
 def victims_from_json(line: str) -> list[Victim]:
-    """Return the victims in a line that `told` made."""
+    """Return the victims in such a line; a victim with a message that does not parse is left out."""
     victims: list[Victim] = []
     for invite, to, set_up, *rest in json.loads(line):
         pair = [item for text in (invite, set_up) for item in Parser().feed(text.encode("latin-1"))]
