--- a/eiderstep/lab/script.py
+++ b/eiderstep/lab/script.py
@@ -9,20 +9,20 @@
 from msgspec import Meta
 from msgspec.structs import replace
 
-from eiderstep.config.load import ConfigError, load_day, locate, read
+from eiderstep.config.load import ConfigError, find_line, load_day, read_script
 from eiderstep.config.schema import (
     CallClass,
     Count,
-    Length,
-    MaybeLength,
+    Duration,
+    DurationOrZero,
     Name,
     Number,
     Rules,
     Share,
-    Strict,
+    StrictStruct,
 )
-from eiderstep.standin.eureka_wire import LIES
-from eiderstep.standin.processor import SHAPES
+from eiderstep.standin.eureka_server import REGISTRY_FAULTS
+from eiderstep.standin.processor import WARM_UP_SHAPES
 
 MS, SECOND = 1_000_000, 1_000_000_000
 PositiveNumber = Annotated[float, Meta(gt=0, le=100_000, description="above 0, at most 100000")]
@@ -31,7 +31,7 @@
 ]
 UnitShare = Annotated[float, Meta(ge=0, le=1, description="0 to 1")]
 
-KINDS = {
+TROUBLE_KINDS = {
     "burst": "the call rate is multiplied by `factor`; it rises and falls over `rise`",
     "flood": "as burst, but only for calls to `exchanges`",
     "hot_number": "`share` of the calls to `exchanges` goes to one number with `factor` lines",
@@ -63,10 +63,12 @@
     "strangers": "strangers, callers and lying exchanges send the call servers `factor` attacks a second",
     "half_open": "`factor` connections are opened on which nothing is sent",
 }
-VIRTUAL = frozenset({"collections", "lossy"})  # kinds that need virtual time and cannot use sockets
+VIRTUAL_ONLY_KINDS = frozenset(
+    {"collections", "lossy"}
+)  # kinds that need virtual time and cannot use sockets
 
 
-class Fleet(Strict, frozen=True, kw_only=True):
+class Fleet(StrictStruct, frozen=True, kw_only=True):
     """The exchanges.  Exchange 0 belongs to the first call server."""
 
     count: Annotated[int, Meta(ge=2, le=256, description="2 to 256")] = 6
@@ -74,27 +76,29 @@
     circuits: Count = 30
     unlinked: list[list[Number]] = []
     capacity: PositiveNumber = 60.0
-    refuse_past: Length = 2 * SECOND  # queueing delay above which an exchange refuses set-ups
+    refuse_past: Duration = 2 * SECOND  # queueing delay above which an exchange refuses set-ups
     names_wait: bool = False  # refusals state a pause
     report: Annotated[str, Meta(pattern="^(rate|loss|none)$", description="rate, loss or none")] = "rate"
-    refresh: Length = 300 * MS  # interval at which an exchange updates its load report
+    refresh: Duration = 300 * MS  # interval at which an exchange updates its load report
     busy_lines: UnitShare = 0.01  # share of calls to a busy number
     can_fall: bool = True  # a cold exchange collapses if it gets too many set-ups
-    warm_up: Annotated[str, Meta(pattern=f"^({'|'.join(SHAPES)})$", description=", ".join(SHAPES))] = "linear"
+    warm_up: Annotated[
+        str, Meta(pattern=f"^({'|'.join(WARM_UP_SHAPES)})$", description=", ".join(WARM_UP_SHAPES))
+    ] = "linear"
     answers_first: bool = False  # answers and releases are processed before queued set-ups
     releases_wait: bool = False  # releases are queued, and free their circuits when they are processed
     drops_cancelled: bool = False  # a set-up that is cancelled while queued costs no processing
     own_work: bool = False  # exchanges of call servers have an emulated processor for all calls
-    delay: MaybeLength = 2 * MS  # one-way delay between districts
-    register_lag: MaybeLength = SECOND
+    delay: DurationOrZero = 2 * MS  # one-way delay between districts
+    register_lag: DurationOrZero = SECOND
     list_from: ListSource = "register"  # with "both", the registry is the main source
-    poll: Length = SECOND  # poll interval of the registry
+    poll: Duration = SECOND  # poll interval of the registry
     form: Annotated[str, Meta(pattern="^(json|xml)$", description="json or xml")] = "json"
-    hold: Length = 90 * SECOND
+    hold: Duration = 90 * SECOND
     skew: Annotated[float, Meta(ge=-3600, le=3600, description="-3600 to 3600")] = 0.0  # clock lead, s
 
 
-class Traffic(Strict, frozen=True, kw_only=True):
+class Traffic(StrictStruct, frozen=True, kw_only=True):
     """Calls per second: `rate` from the callers of each call server, and the calls from other exchanges."""
 
     rate: PositiveNumber = 20.0
@@ -103,72 +107,74 @@
     incoming: Annotated[float, Meta(ge=0, le=10_000, description="0 to 10000")] = 0.0
 
 
-class CallersPart(Strict, frozen=True, kw_only=True):
+class CallerSettings(StrictStruct, frozen=True, kw_only=True):
     """How callers behave."""
 
-    patience: Length = 3 * SECOND
+    patience: Duration = 3 * SECOND
     redials: Annotated[int, Meta(ge=0, le=20, description="0 to 20")] = 2
-    waits: tuple[Length, Length] = (SECOND // 2, 2 * SECOND)  # minimum and maximum wait before a redial
+    waits: tuple[Duration, Duration] = (SECOND // 2, 2 * SECOND)  # minimum and maximum wait before a redial
     heeds: UnitShare = 0.7  # share of callers that obey a pause
     leaves: UnitShare = 0.02  # share of tries that the caller cancels before the answer
     connections: Annotated[int, Meta(ge=1, le=256, description="1 to 256")] = 4
     marks: bool = False  # callers mark redials, and calls after a cut, as such
 
 
-class Trouble(Strict, frozen=True, kw_only=True):
-    """One fault that is injected at `at` ns of the day; `KINDS` says how each kind uses the fields."""
+class Trouble(StrictStruct, frozen=True, kw_only=True):
+    """One fault, injected at `at` ns of the day; `TROUBLE_KINDS` says how each kind uses the fields."""
 
-    kind: Annotated[str, Meta(pattern=f"^({'|'.join(KINDS)})$", description=", ".join(KINDS))]
-    at: MaybeLength
-    lasts: MaybeLength = 0
+    kind: Annotated[str, Meta(pattern=f"^({'|'.join(TROUBLE_KINDS)})$", description=", ".join(TROUBLE_KINDS))]
+    at: DurationOrZero
+    lasts: DurationOrZero = 0
     exchanges: list[Number] = []
     share: UnitShare = 0.5
     factor: PositiveNumber = 2.0
-    gap: Length = SECOND
-    rise: MaybeLength = 0
+    gap: Duration = SECOND
+    rise: DurationOrZero = 0
     district: Annotated[int, Meta(ge=-1, le=63, description="-1 (any) to 63")] = -1
     part: UnitShare = 0.0  # instead of `exchanges`: this share of the district's exchanges, drawn at random
-    lie: Annotated[str, Meta(pattern=f"^({'|'.join(LIES)}|)$", description=", ".join(LIES))] = ""
+    lie: Annotated[
+        str, Meta(pattern=f"^({'|'.join(REGISTRY_FAULTS)}|)$", description=", ".join(REGISTRY_FAULTS))
+    ] = ""
     peers: list[Annotated[int, Meta(ge=0, le=1, description="0 or 1")]] = []
 
 
-class Day(Strict, frozen=True, kw_only=True):
+class Day(StrictStruct, frozen=True, kw_only=True):
     """One test day."""
 
     title: str
-    length: Length
+    length: Duration
     classes: Annotated[list[CallClass], Meta(min_length=1, description="one class at least")]
     traffic: Traffic
     fleet: Fleet = Fleet()
-    callers: CallersPart = CallersPart()
+    callers: CallerSettings = CallerSettings()
     rules: Rules = Rules()
     troubles: list[Trouble] = []
     weights: tuple[UnitShare, UnitShare, UnitShare] = (0.6, 0.2, 0.2)  # whole day, worst window, worst class
-    window: Length = 10 * SECOND
-    settle: Length = 5 * SECOND
+    window: Duration = 10 * SECOND
+    settle: Duration = 5 * SECOND
     name: Name = "day"
 
 
 def load(path: Path) -> Day:
     """Load and check a day script.  Raises ConfigError."""
-    day, text = load_day(path, Day), read(path)
-    check(day, str(path), text)
+    day, text = load_day(path, Day), read_script(path)
+    validate_day(day, str(path), text)
     return day
 
 
-def check(day: Day, file: str, text: str, own: bool = False) -> None:
+def validate_day(day: Day, file: str, text: str, allow_exchange_zero: bool = False) -> None:
     """Check what the types do not cover.  Raises ConfigError.
 
-    `own`: troubles may name exchange 0, that of the first call server, too.
+    `allow_exchange_zero`: troubles may name exchange 0, that of the first call server, too.
     """
 
     def error_at(field: str, problem: str) -> ConfigError:
-        return ConfigError(file, locate(text, f"$.{field}"), field, problem)
+        return ConfigError(file, find_line(text, f"$.{field}"), field, problem)
 
     if len(day.traffic.shares) != len(day.classes):
         problem = f"found {len(day.traffic.shares)}; allowed: one for each of {len(day.classes)} classes"
         raise error_at("traffic.shares", problem)
-    lowest = 0 if own else 1
+    lowest = 0 if allow_exchange_zero else 1
     for index, trouble in enumerate(day.troubles):
         for number in trouble.exchanges:
             if not lowest <= number < day.fleet.count:
@@ -192,14 +198,14 @@
             )
 
 
-def settled(day: Day, rng: Random, own: bool = False) -> Day:
+def draw_trouble_exchanges(day: Day, rng: Random, allow_exchange_zero: bool = False) -> Day:
     """The day with the exchanges of each trouble drawn, where the script gives a share or a district only."""
     troubles: list[Trouble] = []
     for trouble in day.troubles:
         if trouble.part or (trouble.district >= 0 and not trouble.exchanges):
             candidates = [
                 number
-                for number in range(0 if own else 1, day.fleet.count)
+                for number in range(0 if allow_exchange_zero else 1, day.fleet.count)
                 if trouble.district in (-1, number % day.fleet.districts)
             ]
             count = max(round((trouble.part or 1.0) * len(candidates)), 1)
@@ -210,4 +216,12 @@
     return replace(day, troubles=troubles)
 
 
-__all__ = ["KINDS", "VIRTUAL", "Day", "Trouble", "check", "load", "settled"]
+__all__ = [
+    "TROUBLE_KINDS",
+    "VIRTUAL_ONLY_KINDS",
+    "Day",
+    "Trouble",
+    "validate_day",
+    "load",
+    "draw_trouble_exchanges",
+]
--- a/eiderstep/lab/secure.py
+++ b/eiderstep/lab/secure.py
@@ -28,7 +28,7 @@
     server_settings,
 )
 from eiderstep.lab.load import LoadGenerator
-from eiderstep.server.tls import Keys, Tls
+from eiderstep.server.tls import Credentials, TlsConnection
 from eiderstep.sip.message import request
 from eiderstep.sip.parser import Parser
 from eiderstep.trust.authority import Authority
@@ -40,7 +40,7 @@
 
 def issue_keys(folder: Path, peer_count: int) -> None:
     """Creates a CA and keys for the server (x0), each peer and the callers."""
-    ca = Authority.make(folder, "bench", time.time())
+    ca = Authority.create(folder, "bench", time.time())
     for name in [f"x{n}.bench" for n in range(peer_count + 1)] + [LOAD_IDENTITY]:
         ca.issue(name, time.time())
 
@@ -83,7 +83,7 @@
 
     async def run() -> float:
         load = LoadGenerator(called_numbers(PEER_COUNT))
-        tls_context = Keys(tls_settings(folder, LOAD_IDENTITY)).client if use_tls else None
+        tls_context = Credentials(tls_settings(folder, LOAD_IDENTITY)).client_context if use_tls else None
         await load.connect("127.0.0.1", tls_port if use_tls else plain_port, CALLER_CONNECTIONS, tls_context)
         await load.run_closed_loop(1.0, CALLS_IN_FLIGHT)
         cpu_before, completed_before = child.cpu_seconds(), load.completed
@@ -104,7 +104,7 @@
     """One exchange that connects, shows its certificate and sends OPTIONS to learn whether it is accepted."""
 
     def __init__(self, context: ssl.SSLContext, session: ssl.SSLSession | None, name: str) -> None:
-        self.tls, self.parser = Tls(context, False, session), Parser()
+        self.tls, self.parser = TlsConnection(context, False, session), Parser()
         self.transport: Any = None
         self.name, self.probe_sent = name, False
         self.accepted: asyncio.Future[None] = asyncio.get_running_loop().create_future()
@@ -115,8 +115,8 @@
 
     def data_received(self, data: bytes) -> None:
         decrypted = self.tls.feed(data)
-        self.transport.write(self.tls.wanted())
-        if self.tls.done and not self.probe_sent:
+        self.transport.write(self.tls.pending_output())
+        if self.tls.handshake_done and not self.probe_sent:
             self.probe_sent = True
             probe = request(
                 "OPTIONS", "sip:x@x", via=f"SIP/2.0/TCP s;branch=z9hG4bK{self.name}",
@@ -132,12 +132,12 @@
 
 
 async def connect_peers(
-    port: int, keys: list[Keys], sessions: list[ssl.SSLSession | None]
+    port: int, keys: list[Credentials], sessions: list[ssl.SSLSession | None]
 ) -> tuple[float, list[PeerLink]]:
     """Connects all peers at once; returns the seconds until the last one is accepted, and the links."""
     loop, began = asyncio.get_running_loop(), time.perf_counter()
     pairs = zip(keys, sessions, strict=True)
-    links = [PeerLink(k.client, s, f"{n}-{began}") for n, (k, s) in enumerate(pairs)]
+    links = [PeerLink(k.client_context, s, f"{n}-{began}") for n, (k, s) in enumerate(pairs)]
     connections = [loop.create_connection(partial(_return_link, link), "127.0.0.1", port) for link in links]
     await asyncio.gather(*connections)
     await asyncio.gather(*(link.accepted for link in links))
@@ -154,7 +154,7 @@
     Runs in a separate process, so that the CPU time of the peers' handshakes delays no caller.  Prints
     "ready", then the seconds of each time.
     """
-    keys = [Keys(tls_settings(folder, f"x{n + 1}.bench")) for n in range(RECONNECTING_PEERS)]
+    keys = [Credentials(tls_settings(folder, f"x{n + 1}.bench")) for n in range(RECONNECTING_PEERS)]
     sessions: list[ssl.SSLSession | None] = [None] * RECONNECTING_PEERS
     print("ready", flush=True)
     for handshakes in ("whole", "resumed"):
@@ -190,7 +190,10 @@
         results: dict[str, tuple[float, float, float]] = {}
         load = LoadGenerator(called_numbers(RECONNECTING_PEERS))
         await load.connect(
-            "127.0.0.1", port, CALLER_CONNECTIONS, Keys(tls_settings(folder, LOAD_IDENTITY)).client
+            "127.0.0.1",
+            port,
+            CALLER_CONNECTIONS,
+            Credentials(tls_settings(folder, LOAD_IDENTITY)).client_context,
         )
         await load.run_closed_loop(1.0, CALLS_IN_FLIGHT)
         for phase in ("calm", "whole handshakes", "resumed"):
--- a/eiderstep/lab/trials.py
+++ b/eiderstep/lab/sizing_trials.py
@@ -1,6 +1,7 @@
 """Validates the sizing: measures known loads, installs the advised sizes, measures again, counts intervals.
 
-`proof` uses several processes, takes minutes and is not part of the tests.  Its results are in bench/results.
+`run_validation` uses several processes, takes minutes and is not part of the tests.  Its results are in
+bench/results.
 """
 
 from __future__ import annotations
@@ -13,14 +14,14 @@
 from dataclasses import dataclass
 from random import Random
 
-from eiderstep.lab.arrivals import DAY, Kind, Outage, Redials, daily, play
-from eiderstep.lab.sizing import Case, run
+from eiderstep.lab.arrivals import DAY, Outage, Redials, TrafficKind, daily_profile, simulate_group
+from eiderstep.lab.sizing_runs import Case, run_case
 from eiderstep.sizing import network
 from eiderstep.sizing.bucket import Bucket
-from eiderstep.sizing.estimate import loads
+from eiderstep.sizing.estimate import estimate_loads
 from eiderstep.sizing.meter import Meter
-from eiderstep.sizing.report import page
-from eiderstep.sizing.summary import Wanted, summarize
+from eiderstep.sizing.report import render_page
+from eiderstep.sizing.summary import SizingGoals, summarize
 
 SECOND = 1_000_000_000
 HOLD_S = 6.0  # mean holding time
@@ -32,13 +33,13 @@
 
 
 def _make_case(
-    name: str, kinds: Sequence[Kind], circuits: int, redials: int = 0, outage: bool = False
+    name: str, kinds: Sequence[TrafficKind], circuits: int, redials: int = 0, outage: bool = False
 ) -> Case:
-    rate = sum(k.load / k.hold for k in kinds)
+    rate = sum(k.load / k.mean_hold for k in kinds)
     seconds = min(max(CALLS_BEFORE / rate, 25 * HOLD_S), MAX_SECONDS)
     outages = (Outage(seconds * 0.5, seconds * 0.7, 0.4, 0.6),) if outage else ()
     after = min(max(CALLS_AFTER / rate, 25 * HOLD_S), MAX_SECONDS)
-    return Case(name, tuple(kinds), circuits, seconds, redials, outages, after=after)
+    return Case(name, tuple(kinds), circuits, seconds, redials, outages, seconds_after_resize=after)
 
 
 def cases() -> list[Case]:
@@ -48,32 +49,39 @@
         # A large group that is too small keeps hundreds of calls waiting in the module: minutes per run.
         size_factor = 0.8 if i % 2 and load < 100 else 1.3
         all_cases.append(
-            _make_case(f"Poisson {load:g}", [Kind(load, HOLD_S)], max(int(load * size_factor), 1))
+            _make_case(f"Poisson {load:g}", [TrafficKind(load, HOLD_S)], max(int(load * size_factor), 1))
         )
     for load in (1, 3, 8, 20, 50):
-        all_cases.append(_make_case(f"peaked {load:g}", [Kind(load, HOLD_S, peaked=3.0)], int(load) + 1))
+        all_cases.append(
+            _make_case(f"peaked {load:g}", [TrafficKind(load, HOLD_S, dispersion=3.0)], int(load) + 1)
+        )
     for load in (0.8, 2, 4, 8, 20, 50):
         callers = max(int(load * 2.5), 2)
         all_cases.append(
-            _make_case(f"smooth {load:g} of {callers}", [Kind(load, HOLD_S, callers=callers)], int(load) + 1)
+            _make_case(
+                f"smooth {load:g} of {callers}", [TrafficKind(load, HOLD_S, callers=callers)], int(load) + 1
+            )
         )
     for narrow, wide in ((1, 0.3), (3, 0.5), (6, 2), (12, 3), (30, 6), (60, 15)):
-        kinds = [Kind(narrow, HOLD_S), Kind(wide, HOLD_S, width=3)]
+        kinds = [TrafficKind(narrow, HOLD_S), TrafficKind(wide, HOLD_S, width=3)]
         all_cases.append(_make_case(f"narrow {narrow:g}, wide {wide:g}", kinds, int(narrow + 3 * wide) + 3))
-    all_cases.append(_make_case("wide alone 0.3", [Kind(0.3, HOLD_S, width=3)], 4))
+    all_cases.append(_make_case("wide alone 0.3", [TrafficKind(0.3, HOLD_S, width=3)], 4))
     for load in (0.5, 2, 5, 12, 40):
         all_cases.append(
-            _make_case(f"redials {load:g}", [Kind(load, HOLD_S)], max(int(load * 0.9), 1), redials=3)
+            _make_case(f"redials {load:g}", [TrafficKind(load, HOLD_S)], max(int(load * 0.9), 1), redials=3)
         )
     for load in (2, 5, 12, 40):
         all_cases.append(
-            _make_case(f"outage {load:g}", [Kind(load, HOLD_S)], max(int(load), 1), redials=3, outage=True)
+            _make_case(
+                f"outage {load:g}", [TrafficKind(load, HOLD_S)], max(int(load), 1), redials=3, outage=True
+            )
         )
     for load, circuits in ((2, 2), (8, 6)):
-        kind = Kind(load, LONG_HOLD_S)
-        name, profile = f"two days of a wave, {load:g}", daily(0.5)
+        kind = TrafficKind(load, LONG_HOLD_S)
+        name, profile = f"two days of a wave, {load:g}", daily_profile(0.5)
         all_cases.append(
-            Case(name, (kind,), circuits, 2 * DAY, profile=profile, after=2 * DAY, busy_hour=True)
+            Case(name, (kind,), circuits, 2 * DAY, profile=profile,
+                 seconds_after_resize=2 * DAY, busy_hour=True)
         )  # fmt: skip
     return all_cases
 
@@ -101,25 +109,26 @@
 
 def run_trial(case: Case) -> TrialResult:
     """Plays one case; its seed is derived from its name."""
-    outcome = run(case, Random(case.name).getrandbits(32))
-    assert outcome.advised is not None
+    outcome = run_case(case, Random(case.name).getrandbits(32))
+    assert outcome.advice is not None
     classes = range(len(case.kinds))
     return TrialResult(
-        case, outcome.advised.circuits, [outcome.lost(outcome.buckets, c) for c in classes],
-        [outcome.lost(outcome.after, c) for c in classes], outcome.verdict.kept and not outcome.errors,
-        outcome.left_calls + outcome.left_circuits, outcome.cut,
+        case, outcome.advice.circuits, [outcome.loss_share(outcome.buckets, c) for c in classes],
+        [outcome.loss_share(outcome.buckets_after_resize, c) for c in classes],
+        outcome.audit_report.passed and not outcome.errors,
+        outcome.left_calls + outcome.left_circuits, outcome.cut_calls,
     )  # fmt: skip
 
 
-INTERVAL_GROUPS: dict[str, tuple[tuple[Kind, ...], int, float, Redials | None, tuple[Outage, ...]]] = {
-    "Poisson 0.6 on 2": ((Kind(0.6),), 2, 8, None, ()),
-    "Poisson 8 on 12": ((Kind(8),), 12, 4, None, ()),
-    "Poisson 60 on 60": ((Kind(60),), 60, 2, None, ()),
-    "peaked 10 on 14": ((Kind(10, peaked=4),), 14, 8, None, ()),
-    "smooth 8 of 20 on 12": ((Kind(8, callers=20),), 12, 4, None, ()),
-    "narrow 10, wide 2 on 20": ((Kind(10), Kind(2, width=3)), 20, 4, None, ()),
-    "redials 12 on 11": ((Kind(12),), 11, 4, Redials(0.7), ()),
-    "outage 12 on 14": ((Kind(12),), 14, 8, Redials(0.7), (Outage(3600, 3 * 3600, 0.3, 0.4),)),
+INTERVAL_GROUPS: dict[str, tuple[tuple[TrafficKind, ...], int, float, Redials | None, tuple[Outage, ...]]] = {
+    "Poisson 0.6 on 2": ((TrafficKind(0.6),), 2, 8, None, ()),
+    "Poisson 8 on 12": ((TrafficKind(8),), 12, 4, None, ()),
+    "Poisson 60 on 60": ((TrafficKind(60),), 60, 2, None, ()),
+    "peaked 10 on 14": ((TrafficKind(10, dispersion=4),), 14, 8, None, ()),
+    "smooth 8 of 20 on 12": ((TrafficKind(8, callers=20),), 12, 4, None, ()),
+    "narrow 10, wide 2 on 20": ((TrafficKind(10), TrafficKind(2, width=3)), 20, 4, None, ()),
+    "redials 12 on 11": ((TrafficKind(12),), 11, 4, Redials(0.7), ()),
+    "outage 12 on 14": ((TrafficKind(12),), 14, 8, Redials(0.7), (Outage(3600, 3 * 3600, 0.3, 0.4),)),
 }
 
 
@@ -136,11 +145,13 @@
     meter, buckets = Meter({1: circuits}, len(kinds), 0), list[Bucket]()
 
     def collect_buckets(time_s: float) -> None:
-        buckets.extend(b for _, b in meter.roll(int(time_s * SECOND), int(time_s * SECOND)))
+        buckets.extend(b for _, b in meter.close_buckets(int(time_s * SECOND), int(time_s * SECOND)))
 
-    play(kinds, circuits, hours * 3600, seed, meter, redials, outages, roll=collect_buckets)
+    simulate_group(kinds, circuits, hours * 3600, seed, meter, redials, outages, on_period=collect_buckets)
     results = []
-    for class_index, (kind, estimate) in enumerate(zip(kinds, loads(buckets, len(kinds)), strict=True)):
+    for class_index, (kind, estimate) in enumerate(
+        zip(kinds, estimate_loads(buckets, len(kinds)), strict=True)
+    ):
         counts = [b.classes[class_index] for b in buckets]
         measured_seconds = sum(b.length for b in buckets) / SECOND
         ended = max(sum(count.held for count in counts), 1)
@@ -157,29 +168,30 @@
     return name, results
 
 
-def example(seed: int = 1) -> str:
+def example_report(seed: int = 1) -> str:
     """Returns a report on ten days of three simulated groups: one too small, one with an outage, one
     lightly loaded."""
-    wanted = Wanted(["single-record", "multi-leg-call"], [1, 3], [0.02, 0.03], module=6)
+    wanted = SizingGoals(["single-record", "multi-leg-call"], [1, 3], [0.02, 0.03], module=6)
     outage = Outage(3.4 * DAY, 3.6 * DAY, 0.25, 0.5)
     simulated = {
-        1: ([Kind(9, 120), Kind(1.2, 120, width=3)], 18, None, ()),
-        2: ([Kind(6, 120), Kind(0.8, 120, width=3)], 24, Redials(0.6), (outage,)),
-        3: ([Kind(3, 120), Kind(0.3, 120, width=3)], 18, None, ()),
+        1: ([TrafficKind(9, 120), TrafficKind(1.2, 120, width=3)], 18, None, ()),
+        2: ([TrafficKind(6, 120), TrafficKind(0.8, 120, width=3)], 24, Redials(0.6), (outage,)),
+        3: ([TrafficKind(3, 120), TrafficKind(0.3, 120, width=3)], 18, None, ()),
     }  # fmt: skip
     reports = {}
     for number, (kinds, circuits, redials, outages) in simulated.items():
         meter, buckets = Meter({1: circuits}, len(kinds), 0), list[Bucket]()
 
         def collect_buckets(time_s: float, meter: Meter = meter, buckets: list[Bucket] = buckets) -> None:
-            buckets.extend(b for _, b in meter.roll(int(time_s * SECOND), int(time_s * SECOND)))
+            buckets.extend(b for _, b in meter.close_buckets(int(time_s * SECOND), int(time_s * SECOND)))
 
-        play(
-            kinds, circuits, 10 * DAY, seed + number, meter, redials, outages, daily(0.5), collect_buckets,
+        simulate_group(
+            kinds, circuits, 10 * DAY, seed + number, meter, redials, outages,
+            daily_profile(0.5), collect_buckets,
             period=900.0,
         )  # fmt: skip
         reports[number] = summarize(number, buckets, wanted, busy_hour=True)
-    return page(0, reports, wanted)
+    return render_page(0, reports, wanted)
 
 
 def network_rows() -> list[str]:
@@ -191,8 +203,8 @@
         pair_loads = {pair: [rng.uniform(1, 12), rng.uniform(0, 1.5)] for pair in pairs}
         groups = {pair: 1 for pair in pairs if rng.random() < 0.9}
         began = time.perf_counter()
-        plan = network.size(
-            network.Network(range(count), [1, 3], pair_loads, groups), [0.02, 0.05], looks=looks
+        plan = network.size_groups(
+            network.Network(range(count), [1, 3], pair_loads, groups), [0.02, 0.05], max_removal_trials=looks
         )
         took = time.perf_counter() - began
         worst = [max(lost[c] for lost in plan.point.lost.values()) for c in range(2)]
@@ -243,7 +255,7 @@
 """
 
 
-def proof(processes: int) -> tuple[str, bool]:
+def run_validation(processes: int) -> tuple[str, bool]:
     """Runs everything; returns the page, and whether all cases pass and 85 to 95% of the intervals contain
     the true load."""
     with ProcessPoolExecutor(processes) as pool:
--- a/eiderstep/lab/traces.py
+++ b/eiderstep/lab/traces.py
@@ -59,13 +59,13 @@
     steps: list[Step] = field(default_factory=list)
 
 
-def paths(capture: Capture) -> dict[str, CallPath]:
+def call_paths(capture: Capture) -> dict[str, CallPath]:
     """All calls of a capture by Session-ID, in order of their first message."""
     parsers: dict[tuple[str, str, str], Parser] = {}
     found: dict[str, CallPath] = {}
     dialogs: dict[tuple[str, str], tuple[str, str]] = {}  # node, Call-ID: session, remote end
     for record in capture:
-        if record.way not in ("in", "out") or record.label.startswith("regist"):
+        if record.event not in ("in", "out") or record.label.startswith("regist"):
             continue
         for message in _messages(parsers, record):
             key = (record.node, message.call_id)
@@ -77,7 +77,7 @@
             if key in dialogs:
                 session, remote = dialogs[key]
                 found[session].steps.append(
-                    Step(record.time, record.node, remote, record.way == "out", message)
+                    Step(record.time, record.node, remote, record.event == "out", message)
                 )
     return found
 
@@ -87,21 +87,21 @@
     if record.label.startswith("udp "):
         item = parse_datagram(data)
         return [item] if isinstance(item, Message) else []
-    parser = parsers.setdefault((record.node, record.label, record.way), Parser())
+    parser = parsers.setdefault((record.node, record.label, record.event), Parser())
     return [m for m in parser.feed(data) if not isinstance(m, BadMessage)]
 
 
 def remote_end(record: Record, message: Message) -> str:
     """The remote end of an INVITE: an exchange (by the trunk group), a caller, or the server's own lines."""
-    group, _ = fields.read_trunk(message)
+    group, _ = fields.read_trunk_group(message)
     own = record.node.removeprefix("server-").partition(".")[0]
     if group:
         one, _, other = group.partition("-")
         return f"exchange {other if one == own else one}"
-    return "caller" if record.way == "in" else f"lines {own}"
+    return "caller" if record.event == "in" else f"lines {own}"
 
 
-def chosen(found: dict[str, CallPath], wanted: str) -> CallPath:
+def find_call(found: dict[str, CallPath], wanted: str) -> CallPath:
     """Find one call by its Session-ID or a prefix of it, by a Call-ID, or by the called number (first call).
 
     Raises ValueError if there is no such call, or if several share a prefix of at least 4 characters.
--- a/eiderstep/lab/memory.py
+++ b/eiderstep/lab/virtual_network.py
@@ -9,7 +9,7 @@
 from random import Random
 from typing import TYPE_CHECKING, Any
 
-from eiderstep.lab.emulator.hosts import HERE
+from eiderstep.lab.emulator.hosts import CURRENT_HOST
 
 if TYPE_CHECKING:
     from eiderstep.lab.clock import VirtualLoop
@@ -17,8 +17,8 @@
 RETRANSMIT_TIMEOUT_S = 0.2  # the minimum TCP retransmission timeout on common systems
 
 
-class Network:
-    """One-way delays (s) and loss shares between places, which are named by `VirtualLoop.at`.
+class VirtualNetwork:
+    """One-way delays (s) and loss shares between places, which are named by `VirtualLoop.set_place`.
 
     A lost TCP segment arrives `RETRANSMIT_TIMEOUT_S` late; the timeout doubles with each further loss of it,
     and the segments sent after it wait for it.  A lost datagram is dropped.
@@ -27,7 +27,7 @@
     def __init__(self, delay: float = 0.0005) -> None:
         self.default_delay = delay
         self.delays: dict[tuple[str, str], float] = {}
-        self.losses: dict[tuple[str, str], float] = {}
+        self.loss_shares: dict[tuple[str, str], float] = {}
         self.extra_delays: dict[str, float] = {}  # s, added by a trouble to each path from or to the place
         self.rng = Random(0x10C4)
 
@@ -43,13 +43,13 @@
 
     def draw_loss(self, source: str, destination: str) -> bool:
         """Draws whether the packet sent now is lost."""
-        loss_share = self.losses.get((source, destination), 0.0) if self.losses else 0.0
+        loss_share = self.loss_shares.get((source, destination), 0.0) if self.loss_shares else 0.0
         return loss_share > 0 and self.rng.random() < loss_share
 
     def draw_retransmit_delay(self, source: str, destination: str) -> float:
         """Draws the time that losses and retransmissions add to a segment (s)."""
         total, timeout = 0.0, RETRANSMIT_TIMEOUT_S
-        while self.losses and total < 16 * RETRANSMIT_TIMEOUT_S and self.draw_loss(source, destination):
+        while self.loss_shares and total < 16 * RETRANSMIT_TIMEOUT_S and self.draw_loss(source, destination):
             total, timeout = total + timeout, 2 * timeout
         return total
 
@@ -62,8 +62,8 @@
     ) -> None:
         super().__init__({"peername": _host_and_port(peer_address), "sockname": _host_and_port(own_address)})
         self.loop, self.protocol, self.place = loop, protocol, place
-        self.host, self.context = HERE.get(), copy_context()
-        self.other: MemoryTransport | None = None
+        self.host, self.context = CURRENT_HOST.get(), copy_context()
+        self.far_end: MemoryTransport | None = None
         self.closing = self.disconnected = self.reading_paused = False
         self.last_arrival = 0.0
         self.unread: list[bytes] = []
@@ -72,15 +72,15 @@
     def write(self, data: bytes | bytearray | memoryview) -> None:
         if self.closing or self.disconnected or not data:
             return
-        other = self.other
+        other = self.far_end
         assert other is not None
         if self.host is not None:
-            self.host.sent(bytes(data))
+            self.host.queue_sent(bytes(data))
         retransmit_delay = self.loop.network.draw_retransmit_delay(self.place, other.place)
         self._schedule(lambda: other._receive(bytes(data)), retransmit_delay)
 
     def _schedule(self, delivery: Callable[[], None], retransmit_delay: float = 0.0) -> None:
-        other = self.other
+        other = self.far_end
         assert other is not None
         arrival = self.loop.time() + self.loop.network.delay(self.place, other.place) + retransmit_delay
         self.last_arrival = max(self.last_arrival, arrival)
@@ -93,7 +93,7 @@
     def _receive(self, data: bytes) -> None:
         host = self.host
         if host is not None and host.processor is not None:
-            self.loop.call_at(host.turn(data), self._deliver, data, context=self.context)
+            self.loop.call_at(host.queue_arrival(data), self._deliver, data, context=self.context)
         else:
             self._deliver(data)
 
@@ -108,14 +108,14 @@
     def _far_end_closed(self) -> None:
         """Handles the close of the far end, which arrives after the data it sent."""
         if self.host is not None and self.host.processor is not None:
-            self.loop.call_at(self.host.turn(b""), self._disconnect, None, context=self.context)
+            self.loop.call_at(self.host.queue_arrival(b""), self._disconnect, None, context=self.context)
         else:
             self._disconnect(None)
 
     def close(self) -> None:
         if not self.closing:
             self.closing = True
-            other = self.other
+            other = self.far_end
             if other is not None:
                 self._schedule(other._far_end_closed)
             self.loop.call_soon(self._disconnect, None, context=self.context)
@@ -124,7 +124,7 @@
         """Resets the connection at once, at both ends."""
         if not self.disconnected:
             self.closing = True
-            other = self.other
+            other = self.far_end
             self._disconnect(ConnectionResetError("reset"))
             if other is not None:
                 self.loop.call_soon(other._disconnect, ConnectionResetError("reset"), context=other.context)
@@ -132,7 +132,7 @@
     def _disconnect(self, error: Exception | None) -> None:
         if not self.disconnected:
             self.disconnected = self.closing = True
-            self.loop.forget(self)
+            self.loop.remove_transport(self)
             self.protocol.connection_lost(error)
 
     def is_closing(self) -> bool:
--- a/eiderstep/lab/world.py
+++ b/eiderstep/lab/world.py
@@ -22,24 +22,24 @@
     Sizing,
     Trust,
 )
-from eiderstep.engine.timers import Mind
+from eiderstep.engine.timers import ControllerFactory
 from eiderstep.lab.clock import VirtualLoop
 from eiderstep.lab.emulator.conditions import Conditions
 from eiderstep.lab.emulator.hosts import Host
 from eiderstep.lab.process import ProcessServer, StrangerProcess
-from eiderstep.lab.registry import APP, REPLICATION_DELAY_S, EurekaSite
+from eiderstep.lab.registry import APP_NAME, REPLICATION_DELAY_S, StandinRegistry
 from eiderstep.lab.script import SECOND, Day
-from eiderstep.server.node import CallServer
+from eiderstep.server.call_server import CallServer
 from eiderstep.sip.message import split_address
-from eiderstep.standin.callers import Callers, Class, Manners
-from eiderstep.standin.exchange import Exchange, Plant
-from eiderstep.standin.processor import Making, Processor
+from eiderstep.standin.callers import CallerBehaviour, CallerClass, Callers
+from eiderstep.standin.exchange import Exchange, ExchangeConfig
+from eiderstep.standin.processor import Processor, ProcessorConfig
 from eiderstep.standin.proxy import Proxy
 from eiderstep.standin.register import Entry
 from eiderstep.standin.register import Register as RegisterStandin
-from eiderstep.standin.stranger import Stranger, Victim
+from eiderstep.standin.stranger import Attacker, Victim
 
-MEASURED = 10 * SECOND  # bucket length of a day whose trunk groups are measured
+METER_BUCKET = 10 * SECOND  # bucket length of a day whose trunk groups are measured
 LONG_FIRST_MESSAGE = 3600 * SECOND  # on a measured group of one circuit a caller may be silent for minutes
 SUBSCRIBERS = 1000  # called numbers of one exchange
 # Set-ups per second: effectively unlimited, for subscriber lines whose call server's emulated processor sets
@@ -55,12 +55,12 @@
     """One exchange with an eiderstep call server, with its sources of the exchange list and its callers."""
 
     number: int
-    lists: list[RegisterStandin | EurekaSite]
+    lists: list[RegisterStandin | StandinRegistry]
     server: CallServer | ProcessServer
     callers: Callers
 
 
-def host_of(number: int) -> str:
+def exchange_host(number: int) -> str:
     """The loopback address of an exchange; a call server identifies the exchange by it."""
     return f"127.1.{number // 250}.{number % 250 + 1}"
 
@@ -92,92 +92,92 @@
         log: Log,
         servers: tuple[int, ...] = (0,),
         folder: Path | None = None,
-        mind: Mind | None = None,
+        controller_factory: ControllerFactory | None = None,
     ) -> None:
         """`folder`: if set, call servers run in separate processes and write their captures to it.
 
-        `mind`: decides in place of the decision module (used for baselines).
+        `controller_factory`: makes the controller used in place of the decision module (for baselines).
         """
-        self.mind = mind
+        self.controller_factory = controller_factory
         self.loop, self.day, self.seed, self.log = loop, day, seed, log
         self.rng = Random(seed)
         self.capture = Capture()
         self.servers, self.folder = servers, folder
         self.exchanges: dict[int, Exchange] = {}
-        self.past: list[Exchange] = []
+        self.former_exchanges: list[Exchange] = []
         self.proxies: dict[tuple[int, int], Proxy] = {}
         self.sites: dict[int, Site] = {}
         self.cold_starts: list[tuple[int, float]] = []
         self.stalls: list[Stall] = []
         self.conditions = Conditions()
         self.hosts: dict[int, Host] = {}  # processes of the exchanges; in virtual time only
-        self.control: dict[int, Host] = {}  # processes of the call servers; in virtual time only
-        self.kept: dict[tuple[int, int], float] = {}  # share of its circuits that a group still has
-        self.lives: dict[int, int] = {}  # number of restarts of each killed call server
-        self.measure: Path | None = None  # folder for the measurements of the trunk groups
+        self.control_hosts: dict[int, Host] = {}  # processes of the call servers; in virtual time only
+        self.circuit_shares: dict[tuple[int, int], float] = {}  # share of its circuits that a group still has
+        self.restarts: dict[int, int] = {}  # number of restarts of each killed call server
+        self.measurement_folder: Path | None = None  # folder for the measurements of the trunk groups
         self.unavailable: list[UnavailablePeriod] = []
-        self.left_at: dict[int, int] = {}  # unavailable exchanges, and since when (ns)
-        self.strangers: list[Stranger | StrangerProcess] = []
+        self.unavailable_since: dict[int, int] = {}  # unavailable exchanges, and since when (ns)
+        self.strangers: list[Attacker | StrangerProcess] = []
         # By call server: when its standing calls were last collected for the strangers, and these calls.
-        self.known: dict[int, tuple[float, list[Victim]]] = {}
-        self.began = 0.0
+        self.victims_cache: dict[int, tuple[float, list[Victim]]] = {}
+        self.started_at = 0.0
 
     # -- building ------------------------------------------------------------------------------------------
 
     @contextmanager
-    def on(self, number: int, control: bool = False) -> Iterator[None]:
+    def sockets_at(self, number: int, control: bool = False) -> Iterator[None]:
         """Within this context, new sockets belong to the exchange and run on its host.
 
         `control`: they run on the host of its call server.
         """
-        host = (self.control if control else self.hosts).get(number)
-        self.place(number)
+        host = (self.control_hosts if control else self.hosts).get(number)
+        self.set_place(number)
         if host is None:
             yield
         else:
-            with host.on():
+            with host.as_current():
                 yield
 
-    def place(self, number: int) -> None:
+    def set_place(self, number: int) -> None:
         """Assign the sockets created from now on to the exchange's place in the network."""
         if isinstance(self.loop, VirtualLoop):
-            self.loop.at(f"x{number}")
+            self.loop.set_place(f"x{number}")
 
-    def numbers(self) -> dict[str, int]:
+    def exchange_by_prefix(self) -> dict[str, int]:
         """Exchanges by number prefix."""
         return {number_prefix(n): n for n in range(self.day.fleet.count)}
 
-    def linked(self, one: int, other: int) -> bool:
+    def has_group(self, one: int, other: int) -> bool:
         return sorted((one, other)) not in [sorted(pair) for pair in self.day.fleet.unlinked]
 
-    def circuits(self, one: int, other: int) -> int:
+    def group_size(self, one: int, other: int) -> int:
         """The size of a trunk group: the script's figure for each call server that sends calls over it."""
         call_servers = (one in self.servers) + (other in self.servers)
-        return self.day.fleet.circuits * max(call_servers, 1) if self.linked(one, other) else 0
+        return self.day.fleet.circuits * max(call_servers, 1) if self.has_group(one, other) else 0
 
-    def plant_settings(self, number: int, lines_only: bool) -> Plant:
+    def exchange_config(self, number: int, lines_only: bool) -> ExchangeConfig:
         """`lines_only`: the exchange has a call server, and the stand-in plays only its subscriber lines."""
         fleet, cold = self.day.fleet, self.day.rules.cold
         others = [n for n in range(fleet.count) if n != number]
         separate_processor = lines_only and fleet.own_work  # the processor belongs to the call server's host
-        return Plant(
+        return ExchangeConfig(
             number=number,
-            circuits={} if lines_only else {n: self.circuits(number, n) for n in others},
-            numbers=self.numbers(),
+            group_sizes={} if lines_only else {n: self.group_size(number, n) for n in others},
+            dial_plan=self.exchange_by_prefix(),
             context=self.day.name,
             capacity=UNLIMITED_CAPACITY if separate_processor else fleet.capacity,
-            refuse_past=fleet.refuse_past / SECOND,
-            names_wait=fleet.names_wait,
-            report=fleet.report,
-            refresh=fleet.refresh / SECOND,
+            max_wait=fleet.refuse_past / SECOND,
+            sends_pause=fleet.names_wait,
+            report_kind=fleet.report,
+            report_interval=fleet.refresh / SECOND,
             cold_share=cold.share,
             cold_time=cold.time / SECOND,
-            fall_multiple=cold.multiple if fleet.can_fall and cold.time else 0.0,
-            fall_window=cold.window / SECOND,
-            busy_lines=fleet.busy_lines,
+            crash_multiple=cold.multiple if fleet.can_fall and cold.time else 0.0,
+            crash_window=cold.window / SECOND,
+            busy_share=fleet.busy_lines,
             warm_up=fleet.warm_up,
             answers_first=fleet.answers_first,
-            releases_wait=fleet.releases_wait and not separate_processor,
+            queues_releases=fleet.releases_wait and not separate_processor,
             drops_cancelled=fleet.drops_cancelled,
         )
 
@@ -194,24 +194,26 @@
         for one in range(fleet.count):
             for other in range(fleet.count):
                 if one != other and (one in self.servers or other in self.servers):
-                    self.place(other)
-                    proxy = Proxy(self.loop, self.exchanges[other].address, host_of(other), host_of(one))
+                    self.set_place(other)
+                    proxy = Proxy(
+                        self.loop, self.exchanges[other].address, exchange_host(other), exchange_host(one)
+                    )
                     proxy.refuse = other in self.servers  # until its call server is running
                     await proxy.listen()
                     self.proxies[one, other] = proxy
         for number in self.servers:
-            self.place(number)
+            self.set_place(number)
             self.sites[number] = await self.start_site(number)
         for number, site in self.sites.items():
             for other in range(fleet.count):
                 if other != number:
                     self.proxies[other, number].target = site.server.address
-                    self.proxies[other, number].mend()
+                    self.proxies[other, number].stop_refusing()
         for number in range(fleet.count):
             if number not in self.servers:
-                await self.join(number)
+                await self.connect_standin(number)
         for site in self.sites.values():
-            self.place(site.number)
+            self.set_place(site.number)
             await site.callers.connect()
         if len(self.sites) > 1:
             # The call servers started before the others listened; give them time to connect to each other.
@@ -223,44 +225,44 @@
             self.hosts[number] = Host(self.loop, f"x{number}")
         # The lines of a call server keep the address in its settings; other exchanges are behind proxies.
         previous = self.exchanges.get(number) if lines_only else None
-        host, port = split_address(previous.address) if previous is not None else (host_of(number), 0)
-        with self.on(number):
+        host, port = split_address(previous.address) if previous is not None else (exchange_host(number), 0)
+        with self.sockets_at(number):
             rng = Random(self.rng.getrandbits(64))
-            exchange = Exchange(self.loop, self.plant_settings(number, lines_only), rng, started)
-            exchange.host = host
+            exchange = Exchange(self.loop, self.exchange_config(number, lines_only), rng, started)
+            exchange.local_host = host
             await exchange.listen(host, port)
         if started is not None:
             self.cold_starts.append((number, started))
         return exchange
 
-    async def join(self, number: int) -> None:
+    async def connect_standin(self, number: int) -> None:
         """Connect a stand-in to its neighbours: to call servers over proxies, to other stand-ins directly."""
         neighbours = {}
         for other in self.exchanges:
             if other != number:
                 proxy = self.proxies.get((number, other))
                 neighbours[other] = proxy.address if proxy is not None else self.exchanges[other].address
-        with self.on(number):
-            await self.exchanges[number].join(neighbours)
+        with self.sockets_at(number):
+            await self.exchanges[number].connect_neighbours(neighbours)
 
-    def server_settings(self, number: int, lists: list[RegisterStandin | EurekaSite]) -> ServerSettings:
+    def server_settings(self, number: int, lists: list[RegisterStandin | StandinRegistry]) -> ServerSettings:
         fleet, day = self.day.fleet, self.day
         others = [n for n in range(fleet.count) if n != number]
         return ServerSettings(
             number=number,
-            listen=f"{host_of(number)}:0",
+            listen=f"{exchange_host(number)}:0",
             trust=Trust(callers=[Caller(name="own", networks=[CALLERS_NET])]),
             context=day.name,
-            name=self.node(number),
+            name=self.server_name(number),
             classes=day.classes,
             peers=[
                 Peer(
                     number=n, address=self.proxies[number, n].address, zone=n % fleet.districts,
-                    circuits=self.circuits(number, n),
+                    circuits=self.group_size(number, n),
                 )
                 for n in others
             ],
-            dial_plan=[Route(prefix=p, exchange=n) for p, n in self.numbers().items()],
+            dial_plan=[Route(prefix=p, exchange=n) for p, n in self.exchange_by_prefix().items()],
             lines=self.exchanges[number].address,
             controllers=max(len(self.servers), 1),
             ordinal=self.servers.index(number),
@@ -268,42 +270,44 @@
             register=next(
                 (Register(address=x.address) for x in lists if isinstance(x, RegisterStandin)), None
             ),
-            registry=next((self.registry_settings(x) for x in lists if isinstance(x, EurekaSite)), None),
+            registry=next((self.registry_settings(x) for x in lists if isinstance(x, StandinRegistry)), None),
             list_from="register" if fleet.list_from == "register" else "registry",
             sizing=self.sizing_settings(number),
-            limits=Limits(first_message=LONG_FIRST_MESSAGE if self.measure else 3 * SECOND, drain=2 * SECOND),
-            seed=self.seed * 1009 + number + 7919 * self.lives.get(number, 0),
+            limits=Limits(
+                first_message=LONG_FIRST_MESSAGE if self.measurement_folder else 3 * SECOND, drain=2 * SECOND
+            ),
+            seed=self.seed * 1009 + number + 7919 * self.restarts.get(number, 0),
         )  # fmt: skip
 
-    def node(self, number: int) -> str:
+    def server_name(self, number: int) -> str:
         """The name of a call server; each restart after a kill gives it a new one."""
-        life = self.lives.get(number, 0)
+        life = self.restarts.get(number, 0)
         return f"server-{number}" + (f".{life}" if life else "")
 
     def sizing_settings(self, number: int) -> Sizing | None:
-        if self.measure is None:
+        if self.measurement_folder is None:
             return None
-        return Sizing(store=str(self.measure / f"{number}.db"), period=MEASURED)
+        return Sizing(store=str(self.measurement_folder / f"{number}.db"), period=METER_BUCKET)
 
-    def registry_settings(self, site: EurekaSite) -> Registry:
+    def registry_settings(self, site: StandinRegistry) -> Registry:
         fleet = self.day.fleet
         return Registry(
-            addresses=site.addresses, app=APP, poll=fleet.poll, form=fleet.form, hold=fleet.hold,
+            addresses=site.addresses, app=APP_NAME, poll=fleet.poll, form=fleet.form, hold=fleet.hold,
             dial=SECOND // 2, silence=SECOND, whole=2 * SECOND, full_every=10 * fleet.poll,
         )  # fmt: skip
 
-    def create_list_sources(self) -> list[RegisterStandin | EurekaSite]:
+    def create_list_sources(self) -> list[RegisterStandin | StandinRegistry]:
         """Create the sources of the exchange list.
 
         A registry is late by its cache time and by half a poll interval on average.  The cache time is set so
         that both together equal the lag of a register, which makes results with either source comparable.
         """
-        fleet, sources = self.day.fleet, list[RegisterStandin | EurekaSite]()
+        fleet, sources = self.day.fleet, list[RegisterStandin | StandinRegistry]()
         if fleet.list_from in ("register", "both"):
             sources.append(RegisterStandin(self.loop, fleet.register_lag / SECOND))
         if fleet.list_from in ("registry", "both"):
             cache_lag = (fleet.register_lag - fleet.poll / 2) / SECOND - REPLICATION_DELAY_S / 2
-            sources.append(EurekaSite(self.loop, max(cache_lag, 0.0), fleet.skew))
+            sources.append(StandinRegistry(self.loop, max(cache_lag, 0.0), fleet.skew))
         return sources
 
     async def start_site(self, number: int) -> Site:
@@ -313,31 +317,31 @@
             for other in self.exchanges:
                 if other != number:
                     address = self.proxies[number, other].address
-                    source.preset(Entry(address, other, zone=other % self.day.fleet.districts))
+                    source.add_running(Entry(address, other, zone=other % self.day.fleet.districts))
         server = await self.start_server(number, lists)
         callers_part = self.day.callers
-        manners = Manners(
-            patience=callers_part.patience / SECOND,
-            redials=callers_part.redials,
+        behaviour = CallerBehaviour(
+            give_up_time=callers_part.patience / SECOND,
+            max_redials=callers_part.redials,
             redial_wait=(callers_part.waits[0] / SECOND, callers_part.waits[1] / SECOND),
-            heeds_pause=callers_part.heeds,
-            leaves_early=callers_part.leaves,
-            marks=callers_part.marks,
+            pause_obeyed_share=callers_part.heeds,
+            early_hang_up_share=callers_part.leaves,
+            sends_marks=callers_part.marks,
         )
         callers = Callers(
-            self.loop, server.address, Random(self.rng.getrandbits(64)), manners, callers_part.connections,
+            self.loop, server.address, Random(self.rng.getrandbits(64)), behaviour, callers_part.connections,
             f"c{number}",
         )  # fmt: skip
-        callers.host = callers_host(number)
-        control = self.control.get(number)
+        callers.local_host = callers_host(number)
+        control = self.control_hosts.get(number)
         if control is not None and control.processor is not None:
             # A call waits in the queue of the exchange's processor before the call server sees it.  The
             # caller's give-up time starts when it does.
-            callers.look_wait = lambda: self.control[number].backlog() + PROCESSING_MARGIN_S
+            callers.processor_wait = lambda: self.control_hosts[number].queueing_delay() + PROCESSING_MARGIN_S
         return Site(number, lists, server, callers)
 
     async def start_server(
-        self, number: int, lists: list[RegisterStandin | EurekaSite], started: float | None = None
+        self, number: int, lists: list[RegisterStandin | StandinRegistry], started: float | None = None
     ) -> CallServer | ProcessServer:
         """Start the call server of an exchange.  `started`: loop time of this start, None if it is warm."""
         settings = self.server_settings(number, lists)
@@ -346,10 +350,14 @@
             await process.start()
             return process
         if isinstance(self.loop, VirtualLoop):
-            self.control[number] = Host(self.loop, settings.name, self.own_processor(started))
-        with self.on(number, control=True):
+            self.control_hosts[number] = Host(self.loop, settings.name, self.own_processor(started))
+        with self.sockets_at(number, control=True):
             server = CallServer(
-                self.loop, settings, self.log, self.capture.tracer(settings.name), mind=self.mind
+                self.loop,
+                settings,
+                self.log,
+                self.capture.tracer(settings.name),
+                controller_factory=self.controller_factory,
             )
             await server.start()
         return server
@@ -359,22 +367,22 @@
         fleet, cold = self.day.fleet, self.day.rules.cold
         if not fleet.own_work:
             return None
-        making = Making(fleet.capacity, cold.share, cold.time / SECOND, fleet.warm_up)
+        making = ProcessorConfig(fleet.capacity, cold.share, cold.time / SECOND, fleet.warm_up)
         return Processor(making, self.loop.time, lambda delay, callback: None, started)
 
     # -- traffic -------------------------------------------------------------------------------------------
 
-    def classes(self) -> list[Class]:
+    def classes(self) -> list[CallerClass]:
         return [
-            Class(c.name, c.worth, c.aim / SECOND, c.mean_hold / SECOND, c.late_share)
+            CallerClass(c.name, c.worth, c.aim / SECOND, c.mean_hold / SECOND, c.late_share)
             for c in self.day.classes
         ]
 
     def hot_number(self, dest: int) -> str:
-        """The number that a `hot_number` trouble directs calls to; `number_of` never returns it."""
+        """The number that a `hot_number` trouble directs calls to; `random_number` never returns it."""
         return f"{number_prefix(dest)}{SUBSCRIBERS:04d}"
 
-    def number_of(self, dest: int, rng: Random) -> str:
+    def random_number(self, dest: int, rng: Random) -> str:
         return f"{number_prefix(dest)}{rng.randrange(SUBSCRIBERS):04d}"
 
     # -- results -------------------------------------------------------------------------------------------
@@ -386,7 +394,7 @@
         ]
         return Capture.merged(captures) if captures else self.capture
 
-    def left(self) -> tuple[int, int, dict[str, int]]:
+    def remaining(self) -> tuple[int, int, dict[str, int]]:
         """The calls and circuits that the servers still hold, and the sums of their counters."""
         calls = circuits = 0
         counts: dict[str, int] = {}
@@ -411,14 +419,14 @@
     def circuits_at_standins(self) -> int:
         """The number of circuits to call servers that are busy at the stand-ins' end."""
         return sum(
-            len(trunk.busy)
+            len(trunk.holders)
             for exchange in self.exchanges.values()
-            for neighbour, trunk in exchange.trunks.items()
+            for neighbour, trunk in exchange.trunk_groups.items()
             if neighbour in self.servers
         )
 
-    def _back(self, number: int) -> None:
-        since = self.left_at.pop(number, None)
+    def _end_unavailability(self, number: int) -> None:
+        since = self.unavailable_since.pop(number, None)
         if since is not None:
             offices = frozenset(proxy.address for pair, proxy in self.proxies.items() if pair[1] == number)
             self.unavailable.append(UnavailablePeriod(offices, since, int(self.loop.time() * SECOND)))
@@ -427,11 +435,11 @@
         """Whether the deadline `at` (s) of a response fell into a stall of its server."""
         return any(s.since <= at * SECOND <= s.until and s.node in ("", node) for s in self.stalls)
 
-    def facts(self) -> Facts:
+    def audit_facts(self) -> Facts:
         """The facts for the audit.  Ends all open periods of unavailability, so call it after the day."""
         rules = self.day.rules
-        for number in list(self.left_at):
-            self._back(number)
+        for number in list(self.unavailable_since):
+            self._end_unavailability(number)
         return Facts(
             release_wait=rules.release_wait,
             drain_grace=rules.drain_grace,
--- a/eiderstep/node/__init__.py
+++ b/eiderstep/node/__init__.py
@@ -1,4 +1,5 @@
 """The call server on the users' platform: call table, links to offices, callers, change log and process.
 
-`calls` (the call table) and `bounds` (limits on callers' connections) perform no I/O; the other modules do.
+`calls` (the call table) and `caller_limits` (limits on callers' connections) perform no I/O; the other
+modules do.
 """
--- a/eiderstep/node/bounds.py
+++ b/eiderstep/node/caller_limits.py
@@ -5,7 +5,7 @@
 from collections import OrderedDict
 from collections.abc import Callable
 
-from eiderstep.trust.pace import Bucket
+from eiderstep.trust.pace import LeakyBucket
 
 SECOND = 1_000_000_000
 MS = 1_000_000
@@ -35,8 +35,8 @@
     def __init__(self, sockets: int) -> None:
         self.max_connections = max(int(sockets * CALLER_DESCRIPTOR_SHARE), 16)
         self.connections: OrderedDict[int, CallerConnection] = OrderedDict()
-        self.source_buckets: OrderedDict[str, Bucket] = OrderedDict()
-        self.total_bucket = Bucket(TOTAL_RATE)
+        self.source_buckets: OrderedDict[str, LeakyBucket] = OrderedDict()
+        self.total_bucket = LeakyBucket(TOTAL_RATE)
 
     def admit(self, now: int, flow: int, source: str, weight: Callable[[int], int]) -> int | None:
         """Register a new connection; return the flow of the connection to close for it, or None.
@@ -86,10 +86,10 @@
         if bucket is None:
             if len(self.source_buckets) >= MAX_SOURCES:
                 self.source_buckets.popitem(last=False)
-            bucket = self.source_buckets[connection.source] = Bucket(SOURCE_RATE)
+            bucket = self.source_buckets[connection.source] = LeakyBucket(SOURCE_RATE)
         self.source_buckets.move_to_end(connection.source)
-        bucket.pour(now, count)
-        self.total_bucket.pour(now, count)
+        bucket.add(now, count)
+        self.total_bucket.add(now, count)
         excess = max(
             bucket.level - SOURCE_RATE,
             min(self.total_bucket.level - TOTAL_RATE, bucket.level - SOURCE_ALLOWANCE),
@@ -98,7 +98,7 @@
         return min(int(excess / SOURCE_RATE * SECOND), MAX_READ_PAUSE)
 
     def remove(self, flow: int) -> None:
-        """Forget a closed connection; the rate of its source stays tracked."""
+        """Remove a closed connection; the rate of its source stays tracked."""
         self.connections.pop(flow, None)
 
     def silent_connections(self, now: int) -> list[int]:
--- a/eiderstep/node/calls.py
+++ b/eiderstep/node/calls.py
@@ -15,11 +15,11 @@
 from eiderstep import interface as io
 from eiderstep.decide import Controller
 from eiderstep.engine import effects as fx
-from eiderstep.engine.timers import Mind, Timers
+from eiderstep.engine.timers import ControllerFactory, Timers
 from eiderstep.isup import message as isup
 from eiderstep.isup.message import Message
 from eiderstep.node import mapping
-from eiderstep.node.owed import PendingReleases
+from eiderstep.node.pending_releases import PendingReleases
 from eiderstep.node.records import Attempt, AttemptState, Call, CallState
 
 MS = 1_000_000
@@ -34,24 +34,24 @@
 
     def __init__(
         self, settings: io.Settings, class_names: Sequence[str], dial_timeout: int, seed: int,
-        make_decider: Mind | None = None, max_calls: int = 20_000,
+        controller_factory: ControllerFactory | None = None, max_calls: int = 20_000,
     ) -> None:  # fmt: skip
         """`dial_timeout`: how long a set-up waits for a link; `max_calls`: limit of calls held."""
         self.dial_timeout, self.max_calls = dial_timeout, max_calls
         self.setup_reader = mapping.SetUpReader(settings, class_names)
-        self.mind = (make_decider or Controller)(settings, seed)
+        self.controller = (controller_factory or Controller)(settings, seed)
         self.calls: dict[str, Call] = {}
         self.offices: set[str] = set()  # on the list, including draining ones
         self.links_by_office: dict[str, list[int]] = {}  # flows, by office
         self.office_by_link: dict[int, str] = {}  # by flow
-        self.on_link: dict[int, dict[str, Attempt]] = {}  # attempts sent, by flow and call reference
+        self.attempts_by_link: dict[int, dict[str, Attempt]] = {}  # attempts sent, by flow and call reference
         self.links_under_test: set[int] = (
             set()
         )  # flows of links that have sent nothing since they were tested
         self.waiting_for_link: dict[str, list[Attempt]] = {}  # attempts without a link, by office
         self.caller_sources: dict[int, str] = {}  # by flow
-        self.asked: dict[int, set[str]] = {}  # calls with an open set-up, by the caller's flow
-        self.standing: dict[str, set[str]] = {}  # standing calls, by office
+        self.open_set_ups: dict[int, set[str]] = {}  # calls with an open set-up, by the caller's flow
+        self.standing_by_office: dict[str, set[str]] = {}  # standing calls, by office
         self.standing_by_caller: dict[int, set[str]] = {}  # standing calls, by the caller's flow
         # An office sends a group's state on each of its links.  A copy, if applied, would cost a decision and
         # return circuits that the module has deducted for set-ups sent in between, so copies are ignored.
@@ -71,7 +71,7 @@
 
     def caller_connected(self, flow: int, source: str) -> None:
         """Register a caller's connection.  Releases pending for its source follow its first message."""
-        self.caller_sources[flow], self.asked[flow] = source, set()
+        self.caller_sources[flow], self.open_set_ups[flow] = source, set()
 
     def handle_caller_message(self, now: int, flow: int, message: Message, unread_time: int = 0) -> bool:
         """Handle a caller's message; return False if the connection has to be closed.
@@ -85,7 +85,7 @@
             self._handle_caller_release(now, message)
         elif message.kind == isup.TEST:
             result = {isup.CAUSE: b"\1"}
-            self.outgoing.append((flow, Message(isup.TESTED, message.call, result).encode()))
+            self.outgoing.append((flow, Message(isup.TEST_RESULT, message.call, result).encode()))
         elif message.kind == isup.RLC:
             self.pending_releases.confirm(flow, message.call)
         elif message.kind != isup.ACM:
@@ -96,7 +96,7 @@
     def caller_disconnected(self, now: int, flow: int) -> None:
         """Withdraw the open set-ups of a lost caller connection; its standing calls continue."""
         self.caller_sources.pop(flow, None)
-        for reference in self.asked.pop(flow, ()):
+        for reference in self.open_set_ups.pop(flow, ()):
             self._withdraw_set_up(now, self.calls[reference])
         self._resend_lost_releases(now, flow)
 
@@ -113,26 +113,26 @@
         except mapping.InvalidSetUp as error:
             self._count("unfit set-ups")
             self._log("info", "invalid set-up refused", why=str(error), flow=flow)
-            if message.call in self.asked.get(flow, ()):
+            if message.call in self.open_set_ups.get(flow, ()):
                 return False
             self.outgoing.append((flow, isup.encode_release(message.call, isup.INVALID)))
             return True
         existing = self.calls.get(message.call)
         if existing is None and len(self.calls) >= self.max_calls:
             self._count("calls at their limit")
-            self.outgoing.append((flow, isup.encode_release(message.call, isup.CONGESTION)))
+            self.outgoing.append((flow, isup.encode_release(message.call, isup.EQUIPMENT_CONGESTION)))
             return True
         if isinstance(offer, str):
             self._adopt_standing_call(now, flow, message, offer, existing)
             return True
         if existing is not None:
             self._count("ids used twice")
-            if message.call in self.asked.get(flow, ()):
+            if message.call in self.open_set_ups.get(flow, ()):
                 return False
-            self.outgoing.append((flow, isup.encode_release(message.call, isup.TEMPORARY)))
+            self.outgoing.append((flow, isup.encode_release(message.call, isup.TEMPORARY_FAILURE)))
             return True
         self.calls[message.call] = Call(message, offer, flow)
-        self.asked[flow].add(message.call)
+        self.open_set_ups[flow].add(message.call)
         self.events.append(offer)
         return True
 
@@ -153,7 +153,12 @@
         end_cause = self.unknown_call_ends.pop(message.call, None)
         if end_cause is not None or office not in self.offices:
             self.outgoing.append(
-                (flow, isup.encode_release(message.call, isup.TEMPORARY if end_cause is None else end_cause))
+                (
+                    flow,
+                    isup.encode_release(
+                        message.call, isup.TEMPORARY_FAILURE if end_cause is None else end_cause
+                    ),
+                )
             )
             if end_cause is not None:
                 self._release_to_office(now, office, message.call, end_cause)
@@ -165,16 +170,16 @@
         """Withdraw a set-up or end a standing call; the caller may use any of its connections."""
         call = self.calls.get(message.call)
         if call is None:
-            self._remember_end(message.call, message.cause or isup.NORMAL)
+            self._remember_end(message.call, message.cause or isup.NORMAL_CLEARING)
         elif call.state is CallState.OFFERED:
             self._withdraw_set_up(now, call)
         else:
             self._end_standing_call(
-                now, call, io.Outcome.CANCELLED, message.cause or isup.NORMAL, True, False
+                now, call, io.Outcome.CANCELLED, message.cause or isup.NORMAL_CLEARING, True, False
             )
 
     def _withdraw_set_up(self, now: int, call: Call) -> None:
-        """Tell the module that the caller has given up, and close the set-up without an answer."""
+        """Report to the module that the caller has given up, and close the set-up without an answer."""
         self.events.append(io.CallGone(call.reference))
         self._close_set_up(now, call)
 
@@ -182,7 +187,7 @@
         """Remove a call that is not standing, and give up its open attempt."""
         call.state = CallState.OVER
         self.calls.pop(call.reference, None)
-        open_set_ups = self.asked.get(call.flow)
+        open_set_ups = self.open_set_ups.get(call.flow)
         if open_set_ups is not None:
             open_set_ups.discard(call.reference)
         if call.attempt is not None and call.attempt.state in OPEN_STATES:
@@ -206,7 +211,7 @@
     def link_up(self, now: int, office: str, flow: int) -> None:
         """Register a new link to an office and send the set-ups that wait for one."""
         self.office_by_link[flow] = office
-        self.on_link[flow] = {}
+        self.attempts_by_link[flow] = {}
         self.group_states.pop(office, None)
         self.links_by_office.setdefault(office, []).append(flow)
         self._send_pending_releases(now, office, flow)
@@ -227,7 +232,7 @@
         if not flows:
             self.links_by_office.pop(office, None)
         outcome = io.Outcome.NO_ANSWER if silent else io.Outcome.CUT
-        for attempt in self.on_link.pop(flow, {}).values():
+        for attempt in self.attempts_by_link.pop(flow, {}).values():
             if attempt.state is AttemptState.SENT:
                 self._end_attempt(now, attempt, outcome, io.Cause.NONE, None, False)
         self._resend_lost_releases(now, flow)
@@ -243,15 +248,15 @@
 
         The list reports a restart only after the office may have taken new calls, which are therefore kept.
         """
-        for reference in list(self.standing.get(office, ())):
+        for reference in list(self.standing_by_office.get(office, ())):
             attempt = self.calls[reference].attempt
             if attempt is not None and attempt.sent_at < started:
-                self._cut_call(now, reference, isup.TEMPORARY)
+                self._cut_call(now, reference, isup.TEMPORARY_FAILURE)
 
     def office_failed(self, now: int, office: str) -> None:
         """Cut the calls standing at an office that is dead, or counts as dead after OFFICE_TIMEOUT."""
-        for reference in list(self.standing.get(office, ())):
-            self._cut_call(now, reference, isup.TEMPORARY)
+        for reference in list(self.standing_by_office.get(office, ())):
+            self._cut_call(now, reference, isup.TEMPORARY_FAILURE)
 
     def handle_office_message(self, now: int, flow: int, message: Message) -> bool:
         """Handle an office's message; return False if the link has to be closed."""
@@ -260,8 +265,8 @@
             return False
         self.links_under_test.discard(flow)
         kind, call = message.kind, self.calls.get(message.call)
-        if kind == isup.STATE:
-            report_bytes = message.parameters.get(isup.REPORT, b"")
+        if kind == isup.GROUP_STATE:
+            report_bytes = message.parameters.get(isup.LOAD_REPORT, b"")
             last_report, last_flow = self.group_states.get(office, (b"", flow))
             if report_bytes == last_report and last_flow != flow:
                 return True
@@ -274,18 +279,18 @@
         elif kind == isup.ANM:
             return self._handle_answer(now, flow, message)
         elif kind == isup.REL:
-            attempt = self.on_link[flow].get(message.call)
+            attempt = self.attempts_by_link[flow].get(message.call)
             if attempt is not None and attempt.state is AttemptState.SENT:
                 return self._handle_refusal(now, attempt, message)
             if call is not None and call.state is CallState.STANDING and call.office == office:
-                cut = message.cause != isup.NORMAL
+                cut = message.cause != isup.NORMAL_CLEARING
                 outcome = io.Outcome.CUT if cut else io.Outcome.RELEASED
                 report = mapping.load_report(message)
                 self._end_standing_call(
-                    now, call, outcome, message.cause or isup.TEMPORARY, False, True, report
+                    now, call, outcome, message.cause or isup.TEMPORARY_FAILURE, False, True, report
                 )
             elif call is None:
-                self._remember_end(message.call, message.cause or isup.NORMAL)
+                self._remember_end(message.call, message.cause or isup.NORMAL_CLEARING)
             self.outgoing.append((flow, Message(isup.RLC, message.call).encode()))
         elif kind in (isup.IAM, isup.TEST):
             self._count("unfit from offices")
@@ -298,7 +303,7 @@
         A second answer, one with an unknown reference, and one that crossed our release of the attempt are
         dropped.  In the last case the office has our release on its way.
         """
-        attempt = self.on_link[flow].get(message.call)
+        attempt = self.attempts_by_link[flow].get(message.call)
         if attempt is None or attempt.state is not AttemptState.SENT:
             self._count("answers dropped")
             return True
@@ -314,11 +319,11 @@
         self._remove_from_link(attempt)
         self.events.append(io.CallStands(call.reference, attempt.leg, attempt.office, now - attempt.sent_at))
         report = mapping.load_report(message)
-        if report is not None and isup.REPORT in message.parameters:
+        if report is not None and isup.LOAD_REPORT in message.parameters:
             self.events.append(io.OfficeHeard(attempt.office, False, True, now - attempt.sent_at, report))
         answer = Message(isup.ANM, call.reference, {isup.DESCRIPTION: description})
         self.outgoing.append((call.flow, answer.encode()))
-        self.asked[call.flow].discard(call.reference)
+        self.open_set_ups[call.flow].discard(call.reference)
         self._start_standing(now, call, attempt.office)
         return True
 
@@ -336,9 +341,9 @@
     def _start_standing(self, now: int, call: Call, office: str) -> None:
         call.state, call.office, call.source = CallState.STANDING, office, self.caller_sources[call.flow]
         call.discard_parameters()
-        self.standing.setdefault(office, set()).add(call.reference)
+        self.standing_by_office.setdefault(office, set()).add(call.reference)
         self._attach_to_caller(call, call.flow)
-        call.limit_timer = self.timers.at(
+        call.limit_timer = self.timers.schedule(
             now + self.max_standing_time, lambda at: self._end_overlong_call(at, call)
         )
 
@@ -354,7 +359,7 @@
 
     def connection_weight(self, flow: int) -> int:
         """Weight of a caller's connection: 2 with an open set-up, 1 with a standing call, else 0."""
-        return 2 if self.asked.get(flow) else int(flow in self.standing_by_caller)
+        return 2 if self.open_set_ups.get(flow) else int(flow in self.standing_by_caller)
 
     def discard_expired(self, now: int) -> None:
         """Drop pending releases past their time; to be called regularly."""
@@ -377,12 +382,12 @@
         call.state = CallState.OVER
         del self.calls[call.reference]
         if call.limit_timer is not None:
-            call.limit_timer.call_off()
+            call.limit_timer.cancel()
         self._detach_from_caller(call)
-        references = self.standing[call.office]
+        references = self.standing_by_office[call.office]
         references.discard(call.reference)
         if not references:
-            del self.standing[call.office]
+            del self.standing_by_office[call.office]
         if call.attempt is not None:
             duration, leg = now - call.attempt.sent_at, call.attempt.leg
             self.events.append(
@@ -447,14 +452,14 @@
     def _send_set_up(self, now: int, attempt: Attempt, flow: int) -> None:
         call = attempt.call
         attempt.state, attempt.flow = AttemptState.SENT, flow
-        self.on_link[flow][call.reference] = attempt
+        self.attempts_by_link[flow][call.reference] = attempt
         wait_ms = max((attempt.deadline - now) // MS, 1)
         self.outgoing.append((flow, call.encode_set_up(wait_ms)))
 
     def _remove_from_link(self, attempt: Attempt) -> None:
         if attempt.timer is not None:
-            attempt.timer.call_off()
-        self.on_link.get(attempt.flow, {}).pop(attempt.call.reference, None)
+            attempt.timer.cancel()
+        self.attempts_by_link.get(attempt.flow, {}).pop(attempt.call.reference, None)
 
     def _attempt_timed_out(self, now: int, attempt: Attempt) -> None:
         """Give up an attempt whose deadline has passed."""
@@ -463,7 +468,9 @@
 
     def _give_up_attempt(self, now: int, attempt: Attempt, outcome: io.Outcome, settled: bool) -> None:
         if attempt.state is AttemptState.SENT:
-            self.outgoing.append((attempt.flow, isup.encode_release(attempt.call.reference, isup.NORMAL)))
+            self.outgoing.append(
+                (attempt.flow, isup.encode_release(attempt.call.reference, isup.NORMAL_CLEARING))
+            )
         self._end_attempt(now, attempt, outcome, io.Cause.NONE, None, settled)
 
     def _end_attempt(
@@ -502,7 +509,7 @@
 
     def run_timers(self, now: int) -> None:
         """Run the timers that have expired."""
-        self.timers.run(now)
+        self.timers.run_due(now)
 
     def next_due(self) -> int | None:
         """When `run_timers` has to be called next (ns); None without timers."""
@@ -512,7 +519,7 @@
         """Pass the collected events to the module and carry out its actions, until no events are left."""
         while self.events:
             events, self.events = self.events, []
-            for action in self.mind.handle(now, events):
+            for action in self.controller.handle(now, events):
                 ACTION_HANDLERS[type(action)](self, now, action)
         effects, self.effects = self.effects, []
         return effects
@@ -537,28 +544,28 @@
             outcome = io.Outcome.NO_ANSWER if deadline <= now else io.Outcome.UNREACHABLE
             self._end_attempt(now, attempt, outcome, io.Cause.NONE, None, False)
             return
-        attempt.timer = self.timers.at(deadline, lambda at: self._attempt_timed_out(at, attempt))
+        attempt.timer = self.timers.schedule(deadline, lambda at: self._attempt_timed_out(at, attempt))
         flows = self.links_by_office.get(action.office)
         if flows:
             self._send_set_up(now, attempt, min(flows, key=self._link_load))
             return
         self.waiting_for_link.setdefault(action.office, []).append(attempt)
         self.effects.append(fx.Dial(action.office))
-        self.timers.at(now + self.dial_timeout, lambda at: self._link_wait_expired(at, attempt))
+        self.timers.schedule(now + self.dial_timeout, lambda at: self._link_wait_expired(at, attempt))
 
     def _link_load(self, flow: int) -> tuple[bool, int]:
-        return flow in self.links_under_test, len(self.on_link[flow])
+        return flow in self.links_under_test, len(self.attempts_by_link[flow])
 
     def oldest_set_up(self, flow: int) -> int | None:
         """When the oldest unanswered set-up on a link was sent (ns); None if there is none."""
-        return next((attempt.sent_at for attempt in self.on_link.get(flow, {}).values()), None)
+        return next((attempt.sent_at for attempt in self.attempts_by_link.get(flow, {}).values()), None)
 
     def _link_wait_expired(self, now: int, attempt: Attempt) -> None:
         if attempt.state is AttemptState.WAITING:
             self._end_attempt(now, attempt, io.Outcome.UNREACHABLE, io.Cause.NONE, None, False)
 
     def _refuse(self, now: int, action: io.Refuse) -> None:
-        self._reject_call(now, action.call, isup.CONGESTION, action.pause // MS)
+        self._reject_call(now, action.call, isup.EQUIPMENT_CONGESTION, action.pause // MS)
 
     def _abandon(self, now: int, action: io.Abandon) -> None:
         self._reject_call(now, action.call, isup.UNSPECIFIED, 0)
@@ -579,7 +586,7 @@
 
     def _set_timer(self, now: int, action: io.SetTimer) -> None:
         token = action.token
-        self.timers.at(action.due, lambda at: self.events.append(io.TimerDue(token)))
+        self.timers.schedule(action.due, lambda at: self.events.append(io.TimerDue(token)))
 
     def _probe(self, now: int, action: io.Probe) -> None:
         """Report a probe as unanswered: the platform has no message for it, and its settings allow none."""
--- a/eiderstep/node/changelog.py
+++ b/eiderstep/node/changelog.py
@@ -9,7 +9,7 @@
 
 from eiderstep import interface as io
 from eiderstep.node import mapping
-from eiderstep.registry.http import Failed, Link, Times
+from eiderstep.registry.http import HttpClient, RequestFailed, RequestTimeouts
 
 SECOND = 1_000_000_000
 # Seconds that the change log may hold a poll.  A drain that it fails to report counts as reported 2 s later.
@@ -84,7 +84,7 @@
         self, loop: asyncio.AbstractEventLoop, reader: ChangeReader, address: str, log: Callable[..., None]
     ) -> None:
         self.loop, self.reader, self.address, self.log = loop, reader, address, log
-        self.link: Link | None = None
+        self.http_client: HttpClient | None = None
         self.task: asyncio.Task[None] | None = None
 
     def start(self, address: str = "") -> None:
@@ -97,29 +97,31 @@
         """Cancel the poll in progress and close the connection."""
         if self.task is not None:
             self.task.cancel()
-        if self.link is not None:
-            self.link.close()
+        if self.http_client is not None:
+            self.http_client.close()
 
     async def _poll(self) -> None:
-        self.link = Link(
+        self.http_client = HttpClient(
             self.loop,
             self.address,
-            Times(ANSWER_MARGIN, POLL_TIMEOUT + ANSWER_MARGIN, POLL_TIMEOUT + ANSWER_MARGIN),
+            RequestTimeouts(ANSWER_MARGIN, POLL_TIMEOUT + ANSWER_MARGIN, POLL_TIMEOUT + ANSWER_MARGIN),
         )
         delay = RETRY_DELAYS[0]
         while True:
             body = _BodyBuffer()
             path = f"/changes?since={self.reader.last_sequence}&timeout={int(POLL_TIMEOUT * 1000)}"
             try:
-                answer = await self.link.ask("GET", path, {}, open_sink=body.open_body)
+                answer = await self.http_client.request("GET", path, {}, open_sink=body.open_body)
                 if answer.status != 200:
-                    raise Failed(f"status {answer.status}")
+                    raise RequestFailed(f"status {answer.status}")
                 self.reader.apply_answer(json.loads(body.data))
                 delay = RETRY_DELAYS[0]
                 continue
-            except (Failed, ValueError, RecursionError) as error:
+            except (RequestFailed, ValueError, RecursionError) as error:
                 self.log("warning", "change log failed", why=str(error), address=self.address)
-            if self.link.wire is not None:
-                self.link.wire.fail("not understood")  # more of an invalid answer may follow: stop reading it
+            if self.http_client.connection is not None:
+                self.http_client.connection.abort(
+                    "not understood"
+                )  # more of an invalid answer may follow: stop reading it
             await asyncio.sleep(delay)
             delay = min(2 * delay, RETRY_DELAYS[1])
--- a/eiderstep/node/wires.py
+++ b/eiderstep/node/connections.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING, Any, cast
 
 from eiderstep.isup.message import Message
-from eiderstep.isup.parser import Parser, Unreadable
+from eiderstep.isup.parser import FramingError, Parser
 
 if TYPE_CHECKING:
     from eiderstep.node.server import Node
@@ -14,7 +14,7 @@
 MAX_UNSENT = 256 * 1024  # bytes that may wait for a peer that does not read
 
 
-class Wire(asyncio.BufferedProtocol):
+class Connection(asyncio.BufferedProtocol):
     """One TCP connection; `office` is empty for a caller's connection.
 
     An unlimited read can return a quarter of a megabyte from one peer, and all other connections wait while
@@ -56,7 +56,7 @@
         if self.closing_at:
             return
         self.last_received_at = self.node.now()
-        items: list[Message | Unreadable] = self.parser.feed(data)
+        items: list[Message | FramingError] = self.parser.feed(data)
         if not self.parser.remainder:
             self.partial_since = 0
         elif items or not self.partial_since:
--- a/eiderstep/node/links.py
+++ b/eiderstep/node/links.py
@@ -8,7 +8,7 @@
 
 from eiderstep.isup.message import CAUSE, TEST, Message
 from eiderstep.node.config import ConfigError, parse_address
-from eiderstep.node.wires import Wire
+from eiderstep.node.connections import Connection
 
 if TYPE_CHECKING:
     from eiderstep.node.server import Node
@@ -31,7 +31,7 @@
 
     def __init__(self, office: str, address: str, started: int) -> None:
         self.office, self.address, self.started = office, address, started
-        self.connections: list[Wire] = []
+        self.connections: list[Connection] = []
         self.dial_tasks: list[asyncio.Task[None]] = []
         self.dial_requested = asyncio.Event()  # set when a link is needed at once
         self.last_received_at = 0
@@ -86,7 +86,7 @@
         if peer is not None:
             peer.dial_requested.set()
 
-    def link_up(self, connection: Wire) -> bool:
+    def link_up(self, connection: Connection) -> bool:
         """Add a new link; return whether it is still needed."""
         peer = self.peers.get(connection.office)
         if peer is None or peer.gone or len(peer.connections) >= LINKS_PER_OFFICE:
@@ -95,7 +95,7 @@
         peer.last_received_at = connection.last_received_at
         return True
 
-    def link_lost(self, connection: Wire) -> None:
+    def link_lost(self, connection: Connection) -> None:
         """Drop a lost link; an office that is gone is removed with its last link."""
         peer = self.peers.get(connection.office)
         if peer is None or connection not in peer.connections:
@@ -124,13 +124,13 @@
             if peer.gone:
                 self._remove_if_idle(peer)
 
-    def _set_up_overdue(self, now: int, connection: Wire) -> bool:
+    def _set_up_overdue(self, now: int, connection: Connection) -> bool:
         """Whether a set-up is unanswered, and the link without data, for SET_UP_TEST_DELAY."""
         oldest = self.node.calls.oldest_set_up(connection.flow)
         return oldest is not None and now - max(oldest, connection.last_received_at) >= SET_UP_TEST_DELAY
 
     @staticmethod
-    def _answered_on_other_link(peer: Peer, connection: Wire) -> bool:
+    def _answered_on_other_link(peer: Peer, connection: Connection) -> bool:
         """Whether the office has sent data on another link LINK_TEST_TIMEOUT after this one was tested.
 
         A connection that is open but dead holds on to its set-ups.  The module takes their age for a wait at
@@ -150,8 +150,8 @@
     def _remove_if_idle(self, peer: Peer) -> None:
         """Remove an office that is gone once it has no calls and no set-ups, or no links."""
         calls = self.node.calls
-        in_use = calls.standing.get(peer.office) or any(
-            calls.on_link.get(connection.flow) for connection in peer.connections
+        in_use = calls.standing_by_office.get(peer.office) or any(
+            calls.attempts_by_link.get(connection.flow) for connection in peer.connections
         )
         if not in_use or not peer.connections:
             self._remove(peer)
@@ -178,7 +178,7 @@
             return
         while not peer.gone:
             try:
-                connecting = node.loop.create_connection(partial(Wire, node, peer.office), host, port)
+                connecting = node.loop.create_connection(partial(Connection, node, peer.office), host, port)
                 _, connection = await asyncio.wait_for(connecting, node.config.dial_timeout / SECOND)
                 delay = RECONNECT_DELAYS[0]
                 assert connection.closed is not None
--- a/eiderstep/node/mapping.py
+++ b/eiderstep/node/mapping.py
@@ -20,8 +20,8 @@
     "latency_ms": "avg_ms", "util": "cpu", "eps": "reduce",
 }  # fmt: skip
 OUTCOME_BY_CAUSE = {
-    isup.NO_CIRCUIT: io.Outcome.TURNED_AWAY,
-    isup.BUSY: io.Outcome.FAULT,
+    isup.NO_CIRCUIT_AVAILABLE: io.Outcome.TURNED_AWAY,
+    isup.USER_BUSY: io.Outcome.FAULT,
     isup.PREEMPTED: io.Outcome.FAULT,
     isup.RECOVERY: io.Outcome.NOT_SENT,
 }
@@ -53,7 +53,7 @@
         `received_at`: the earliest time at which the message can have arrived (ns), from which its wait
         counts.  Raises InvalidSetUp.
         """
-        text = message.text_parameter(isup.FIGURES) or ""
+        text = message.text_parameter(isup.ROUTING_DATA) or ""
         pairs = parse_pairs(text)
         if message.call == isup.NO_CALL:
             raise InvalidSetUp("call reference 0")
@@ -62,7 +62,7 @@
             if office:
                 return office
             raise InvalidSetUp("parameter 185 is malformed; allowed: name:value pairs such as dest:2;width:1")
-        name, wait_ms = message.text_parameter(isup.CLASS), message.decimal_parameter(isup.PATIENCE)
+        name, wait_ms = message.text_parameter(isup.CLASS), message.decimal_parameter(isup.GIVE_UP_TIME)
         number = message.text_parameter(isup.NUMBER)
         class_no = self.class_numbers.get(name or "")
         if class_no is None:
@@ -82,7 +82,7 @@
             dest=int(dest),
             width=int(width),
             expires=received_at + wait_ms * MS,
-            number=number,
+            called_number=number,
             hint=int(pairs.get("via", -1)),
             transit=pairs.get("transit") == 1,
             was_cut=pairs.get("again") == 1,
@@ -99,9 +99,9 @@
 
 def load_report(message: Message) -> io.LoadReport | None:
     """The load report in a message, an empty one if the message has none, or None if it is malformed."""
-    if isup.REPORT not in message.parameters:
+    if isup.LOAD_REPORT not in message.parameters:
         return io.LoadReport()
-    pairs = parse_pairs(message.text_parameter(isup.REPORT) or "?")
+    pairs = parse_pairs(message.text_parameter(isup.LOAD_REPORT) or "?")
     if pairs is None:
         return None
     return read_report({REPORT_FIELD_NAMES.get(name, name): value for name, value in pairs.items()})
--- a/eiderstep/node/records.py
+++ b/eiderstep/node/records.py
@@ -5,7 +5,7 @@
 from enum import Enum, auto
 
 from eiderstep import interface as io
-from eiderstep.engine.timers import Entry
+from eiderstep.engine.timers import Timer
 from eiderstep.isup import message as isup
 from eiderstep.isup.message import Message
 
@@ -43,11 +43,11 @@
         self.attempt_count = 0
         self.attempt: Attempt | None = None
         self.office = self.source = ""
-        self.limit_timer: Entry | None = None
+        self.limit_timer: Timer | None = None
 
     def encode_set_up(self, wait_ms: int) -> bytes:
         """Encode the set-up for an office: class, number and description as received, and `wait_ms`."""
-        forwarded = {isup.CLASS: self.forwarded[isup.CLASS], isup.PATIENCE: str(wait_ms).encode()}
+        forwarded = {isup.CLASS: self.forwarded[isup.CLASS], isup.GIVE_UP_TIME: str(wait_ms).encode()}
         forwarded |= {c: self.forwarded[c] for c in (isup.NUMBER, isup.DESCRIPTION) if c in self.forwarded}
         return Message(isup.IAM, self.reference, forwarded).encode()
 
@@ -65,4 +65,4 @@
         self.call, self.leg, self.office, self.sent_at, self.deadline = call, leg, office, sent_at, deadline
         self.state = AttemptState.WAITING
         self.flow = -1  # the link that it was sent on; negative if it has not been sent
-        self.timer: Entry | None = None
+        self.timer: Timer | None = None
--- a/eiderstep/node/server.py
+++ b/eiderstep/node/server.py
@@ -13,16 +13,16 @@
 from eiderstep.engine import effects as fx
 from eiderstep.isup import message as isup
 from eiderstep.isup.message import Message
-from eiderstep.isup.parser import Unreadable
+from eiderstep.isup.parser import FramingError
 from eiderstep.node import config as configuration
-from eiderstep.node.bounds import FIRST_MESSAGE_TIMEOUT, CallerLimits
+from eiderstep.node.caller_limits import FIRST_MESSAGE_TIMEOUT, CallerLimits
 from eiderstep.node.calls import CallTable
 from eiderstep.node.changelog import ChangeLogPoller, ChangeReader
 from eiderstep.node.config import Config, ConfigError
+from eiderstep.node.connections import Connection
 from eiderstep.node.links import Links, Peer
-from eiderstep.node.wires import Wire
-from eiderstep.server.watch import StallWatch, settle_collector
-from eiderstep.trust.pace import Thinner
+from eiderstep.server.watch import StallDetector, tune_garbage_collector
+from eiderstep.trust.pace import LogRateLimiter
 
 SECOND = 1_000_000_000
 MS = 1_000_000
@@ -72,14 +72,14 @@
             )
         except ValueError as error:
             raise ConfigError(f"settings: {error}") from None
-        self.connections: dict[int, Wire] = {}
+        self.connections: dict[int, Connection] = {}
         self.caller_limits = CallerLimits(config.sockets)
         self.read_buffer = memoryview(bytearray(READ_SIZE))
         self.links = Links(self)
         self.change_reader = ChangeReader(self._update_offices)
         self.change_log = ChangeLogPoller(loop, self.change_reader, config.changelog, self.log)
-        self.stall_watch = StallWatch(STALL_THRESHOLD)
-        self.log_limiter = Thinner()
+        self.stall_watch = StallDetector(STALL_THRESHOLD)
+        self.log_limiter = LogRateLimiter()
         self.flush_scheduled = False
         self.timer: asyncio.TimerHandle | None = None
         self.timer_at = 0
@@ -101,7 +101,7 @@
 
     def log(self, level: str, event: str, **fields: Any) -> None:
         """Write one log line, rate-limited by event: many events can be caused by peers."""
-        suppressed = self.log_limiter.line(self.now(), event)
+        suppressed = self.log_limiter.count_line(self.now(), event)
         if suppressed >= 0:
             suffix = f" held_back={suppressed}" if suppressed else ""
             text = "".join(f" {key}={value!r}" for key, value in fields.items())
@@ -120,10 +120,12 @@
         deadline = self.loop.time() + LINK_WAIT
         while self.loop.time() < deadline and any(not peer.connections for peer in self.links.peers.values()):
             await asyncio.sleep(0.01)
-        settle_collector()
+        tune_garbage_collector()
         host, port = self.config.listen
         try:
-            self.listener = await self.loop.create_server(lambda: Wire(self), host, port, backlog=BACKLOG)
+            self.listener = await self.loop.create_server(
+                lambda: Connection(self), host, port, backlog=BACKLOG
+            )
         except OSError as error:
             raise ConfigError(f"listen {host}:{port}: {error.strerror or error}") from None
         self._check_stall()
@@ -158,7 +160,7 @@
         """
         if not self.stop_requested_at:
             self.stop_requested_at = self.now()
-            self.log("info", "stopping", open=sum(len(a) for a in self.calls.asked.values()))
+            self.log("info", "stopping", open=sum(len(a) for a in self.calls.open_set_ups.values()))
 
     def shut_down(self) -> None:
         """Close the listener and all connections, and resolve `stopped`."""
@@ -174,7 +176,7 @@
 
     # -- connections ---------------------------------------------------------------------------------------
 
-    def caller_connected(self, connection: Wire) -> None:
+    def caller_connected(self, connection: Connection) -> None:
         """Register a caller's connection, and abort one if there are too many."""
         self.connections[connection.flow] = connection
         self.calls.caller_connected(connection.flow, connection.source)
@@ -185,7 +187,7 @@
             self.log("warning", "connections at their limit", source=self.connections[evicted].source)
             self.connections[evicted].abort()
 
-    def link_up(self, connection: Wire) -> None:
+    def link_up(self, connection: Connection) -> None:
         """Register a new link to an office; abort it if it is no longer needed."""
         if not self.links.link_up(connection):
             connection.abort()
@@ -194,16 +196,16 @@
         self.calls.link_up(self.now(), connection.office, connection.flow)
         self._schedule_flush()
 
-    def connect_failed(self, peer: Peer, was_refused: bool, why: str) -> None:
+    def connect_failed(self, peer: Peer, was_refused: bool, reason: str) -> None:
         """Handle a failed dial.  A refusal proves that the office's process is dead, so its calls are cut."""
-        self.log("warning", "office not reached", office=peer.office, why=why)
+        self.log("warning", "office not reached", office=peer.office, why=reason)
         if not peer.connections:
             self.calls.office_unreachable(self.now(), peer.office)
             if was_refused:
                 self.calls.office_failed(self.now(), peer.office)
             self._schedule_flush()
 
-    def connection_lost(self, connection: Wire) -> None:
+    def connection_lost(self, connection: Connection) -> None:
         """Deregister a lost connection."""
         self.connections.pop(connection.flow, None)
         if connection.office:
@@ -214,7 +216,7 @@
             self.calls.caller_disconnected(self.now(), connection.flow)
         self._schedule_flush()
 
-    def messages_received(self, connection: Wire, items: list[Message | Unreadable]) -> None:
+    def messages_received(self, connection: Connection, items: list[Message | FramingError]) -> None:
         """Handle messages of one connection, in order."""
         now = self.now()
         if connection.office:
@@ -223,20 +225,24 @@
             self._handle_caller_messages(now, connection, items)
         self._schedule_flush()
 
-    def _handle_office_messages(self, now: int, connection: Wire, items: list[Message | Unreadable]) -> None:
+    def _handle_office_messages(
+        self, now: int, connection: Connection, items: list[Message | FramingError]
+    ) -> None:
         for item in items:
             usable = isinstance(item, Message) and (
                 connection.flow not in self.calls.office_by_link
                 or self.calls.handle_office_message(now, connection.flow, item)
             )
             if not usable:
-                why = item.why if isinstance(item, Unreadable) else isup.NAMES[item.kind]
+                why = item.reason if isinstance(item, FramingError) else isup.TYPE_NAMES[item.kind]
                 self.log("warning", "invalid message from office", office=connection.office, why=why)
                 self.calls.link_lost(now, connection.flow)
                 connection.abort()
                 return
 
-    def _handle_caller_messages(self, now: int, connection: Wire, items: list[Message | Unreadable]) -> None:
+    def _handle_caller_messages(
+        self, now: int, connection: Connection, items: list[Message | FramingError]
+    ) -> None:
         unread_time = self._unread_time(now)
         delay = self.caller_limits.charge_messages(now, connection.flow, len(items))
         if delay:
@@ -245,10 +251,10 @@
         for item in items:
             if isinstance(item, Message):
                 self.caller_limits.message_received(connection.flow)
-            if isinstance(item, Unreadable) or not self.calls.handle_caller_message(
+            if isinstance(item, FramingError) or not self.calls.handle_caller_message(
                 now, connection.flow, item, unread_time
             ):
-                why = item.why if isinstance(item, Unreadable) else isup.NAMES[item.kind]
+                why = item.reason if isinstance(item, FramingError) else isup.TYPE_NAMES[item.kind]
                 self.log("info", "invalid message from caller", source=connection.source, why=why)
                 connection.close()
                 return
@@ -270,16 +276,16 @@
 
     def _unread_time(self, now: int) -> int:
         """How long input that is read now may have lain unread because this process stalled (ns)."""
-        unread_time = self.stall_watch.waited(now)
-        if self.stall_watch.fresh:
-            self.log("warning", "stalled", ms=self.stall_watch.fresh // MS)
+        unread_time = self.stall_watch.read_delay(now)
+        if self.stall_watch.new_stall:
+            self.log("warning", "stalled", ms=self.stall_watch.new_stall // MS)
         return unread_time
 
     def _check_stall(self) -> None:
         if not self.stopped.done():
             now = self.now()
             self._unread_time(now)
-            self.stall_watch.beat(now)
+            self.stall_watch.heartbeat(now)
             self.loop.call_later(STALL_CHECK_INTERVAL, self._check_stall)
 
     def _check_links(self) -> None:
@@ -304,7 +310,7 @@
             ):
                 connection.close()
         if self.stop_requested_at and now - self.stop_requested_at >= SHUTDOWN_DELAY * SECOND:
-            if not any(self.calls.asked.values()):
+            if not any(self.calls.open_set_ups.values()):
                 self.shut_down()
                 return
         self.loop.call_later(CONNECTION_CHECK_INTERVAL, self._check_connections)
--- a/eiderstep/reading.py
+++ b/eiderstep/reading.py
@@ -59,7 +59,7 @@
         cold_share=float(obligations.get("cold_share") or 1.0),
         cold_time=int(obligations.get("cold") or 0),
         release_wait=int(family.get("release") or 0),
-        resend_after=int(family.get("retransmit") or 0),
+        retransmit_interval=int(family.get("retransmit") or 0),
         redials_marked=bool((config.get("callers") or {}).get("marks_retry")),
     )
 
@@ -88,5 +88,5 @@
         cpu_used=number("cpu"),
         wait=integer("avg_ms", 1_000_000),
         max_rate=number("max_rate"),
-        reduce=number("reduce"),
+        reduction=number("reduce"),
     )
--- a/eiderstep/registry/client.py
+++ b/eiderstep/registry/client.py
@@ -16,10 +16,10 @@
 
 from eiderstep import interface as io
 from eiderstep.config.schema import Registry
-from eiderstep.registry.decode import Bounds, InvalidResponse, Reader, reader_for
-from eiderstep.registry.http import Failed, Link, Response, Times, Trace
+from eiderstep.registry.decode import InvalidResponse, Reader, ResponseLimits, reader_for
+from eiderstep.registry.http import HttpClient, RequestFailed, RequestTimeouts, Response, Trace
 from eiderstep.registry.model import Listing
-from eiderstep.registry.pace import AddressPool, Ask, PollSchedule
+from eiderstep.registry.poll_schedule import AddressPool, PollKind, PollSchedule
 from eiderstep.registry.table import ApplyResult, RegistryTable, Snapshot
 from eiderstep.registry.view import Policy, View
 
@@ -48,57 +48,57 @@
         return 0
 
 
-class Follower:
+class RegistryFollower:
     """Polls one registry address at a time, with failover, one request at a time."""
 
     def __init__(self, client: RegistryClient, number: int) -> None:
         settings = client.settings
         self.client, self.number = client, number
-        self.pace = PollSchedule(settings.poll, settings.full_every, client.rng)
+        self.schedule = PollSchedule(settings.poll, settings.full_every, client.rng)
         self.table = RegistryTable()
         self.etags: dict[str, str] = {}  # by path: the ETag of the response that the table equals
         self.wake = asyncio.Event()
-        self.links: dict[str, Link] = {}
+        self.http_clients: dict[str, HttpClient] = {}
 
-    def link(self, name: str) -> Link:
-        if name not in self.links:
+    def http_client(self, name: str) -> HttpClient:
+        if name not in self.http_clients:
             settings = self.client.settings
-            self.links[name] = Link(
-                self.client.loop, name, Times.of(settings), settings.tls, self.client.trace
+            self.http_clients[name] = HttpClient(
+                self.client.loop, name, RequestTimeouts.of(settings), settings.tls, self.client.trace
             )
-        return self.links[name]
+        return self.http_clients[name]
 
     async def run(self) -> None:
         """Polls until cancelled."""
         client = self.client
         while True:
-            wait = await self.turn()
+            wait = await self.poll_once()
             with contextlib.suppress(TimeoutError):
                 await asyncio.wait_for(self.wake.wait(), wait / SECOND)
             self.wake.clear()
             client.on_timer()
 
-    async def turn(self) -> int:
+    async def poll_once(self) -> int:
         """Sends one request and handles its result; returns the delay until the next one (ns)."""
         client = self.client
         name = client.addresses.pick(self.number)
         now = client.now()
         partial = client.settings.ask != "all"
-        kind = Ask.FULL if partial else self.pace.next_kind(now, name)
-        if kind is Ask.FULL and self.pace.table_address != name:
+        kind = PollKind.FULL if partial else self.schedule.next_kind(now, name)
+        if kind is PollKind.FULL and self.schedule.table_address != name:
             self.table, self.etags = RegistryTable(), {}
         try:
             response = await self.fetch(name, kind)
             applied, snapshot = self.apply_response(response, kind, partial)
-        except (Failed, InvalidResponse) as problem:
+        except (RequestFailed, InvalidResponse) as problem:
             now = client.now()
             client.addresses.mark_failed(now, name)
             client.on_failure(name, str(problem))
-            return self.pace.on_failure(client.addresses.pick(self.number) != name)
+            return self.schedule.on_failure(client.addresses.pick(self.number) != name)
         now = client.now()
-        client.polls[kind] += 1
-        client.bytes[kind] += response.received_bytes
-        first = self.pace.mismatches == 0  # log once, not at each poll with the same result
+        client.poll_counts[kind] += 1
+        client.received_bytes[kind] += response.received_bytes
+        first = self.schedule.mismatches == 0  # log once, not at each poll with the same result
         if applied is ApplyResult.STALE:
             if first:
                 client.note("registry answered with an older version", {"registry": name})
@@ -106,24 +106,24 @@
             client.on_snapshot(name, snapshot)
         if applied is ApplyResult.MISMATCH and first:
             client.note("registry hash mismatch", {"registry": name, "asked": kind.value})
-        return self.pace.on_response(now, name, kind, hash_matches=applied is ApplyResult.TAKEN)
+        return self.schedule.on_response(now, name, kind, hash_matches=applied is ApplyResult.TAKEN)
 
-    def path(self, kind: Ask) -> str:
+    def path(self, kind: PollKind) -> str:
         settings = self.client.settings
         if settings.ask != "all":
             return (
                 f"{settings.path}/{COLLECTIONS[settings.ask]}/"
                 f"{quote(settings.app if settings.ask == 'app' else settings.vip, safe='')}"
             )
-        return f"{settings.path}/apps" + ("/delta" if kind is Ask.DELTA else "")
+        return f"{settings.path}/apps" + ("/delta" if kind is PollKind.DELTA else "")
 
-    async def fetch(self, name: str, kind: Ask) -> Response:
+    async def fetch(self, name: str, kind: PollKind) -> Response:
         """Requests a list from the address `name`.  Raises Failed."""
         settings, path = self.client.settings, self.path(kind)
         headers = {"Accept": ACCEPT[settings.form], "Accept-Encoding": "gzip"}
         if path in self.etags:
             headers["If-None-Match"] = self.etags[path]
-        bounds = Bounds(answer=settings.answer, instances=settings.instances)
+        bounds = ResponseLimits(max_bytes=settings.answer, max_instances=settings.instances)
 
         def open_sink(status: int, response_headers: dict[str, str]) -> Reader | None:
             return (
@@ -132,14 +132,16 @@
                 else None
             )
 
-        response = await self.link(name).ask("GET", path, headers, open_sink=open_sink)
+        response = await self.http_client(name).request("GET", path, headers, open_sink=open_sink)
         if response.status == NOT_FOUND and settings.ask != "all":
             return response  # no instance of the app: an empty list, left to the rules of the view
         if response.status not in (OK, NOT_MODIFIED):
-            raise Failed(f"status {response.status}")
+            raise RequestFailed(f"status {response.status}")
         return response
 
-    def apply_response(self, response: Response, kind: Ask, partial: bool) -> tuple[ApplyResult, Snapshot]:
+    def apply_response(
+        self, response: Response, kind: PollKind, partial: bool
+    ) -> tuple[ApplyResult, Snapshot]:
         """Applies a response to the table.  Raises InvalidResponse."""
         path = self.path(kind)
         if response.status == NOT_MODIFIED:
@@ -148,12 +150,12 @@
             )  # fmt: skip
         else:
             listing = response.sink.finish() if response.sink is not None else Listing()
-            if kind is Ask.FULL:
+            if kind is PollKind.FULL:
                 applied, snapshot = self.table.apply_full(listing, partial)
                 self.etags = {}
             else:
                 applied, snapshot = self.table.apply_delta(listing)
-                self.etags.pop(self.path(Ask.FULL), None)  # the table no longer equals that full list
+                self.etags.pop(self.path(PollKind.FULL), None)  # the table no longer equals that full list
             etag = response.headers.get("etag", "")
             if etag and len(etag) < 256 and applied is ApplyResult.TAKEN:
                 self.etags[path] = etag
@@ -175,10 +177,10 @@
         self.trace = trace
         self.view = View(policy(settings), configured)
         self.addresses = AddressPool(list(settings.addresses))
-        self.polls = {Ask.FULL: 0, Ask.DELTA: 0}
-        self.bytes = {Ask.FULL: 0, Ask.DELTA: 0}
+        self.poll_counts = {PollKind.FULL: 0, PollKind.DELTA: 0}
+        self.received_bytes = {PollKind.FULL: 0, PollKind.DELTA: 0}
         self.failing: dict[str, str] = {}
-        self.followers: list[Follower] = []
+        self.followers: list[RegistryFollower] = []
         self.tasks: list[asyncio.Task[None]] = []
         self.timer: asyncio.TimerHandle | None = None
 
@@ -188,8 +190,8 @@
     def start(self) -> None:
         """Starts the followers.  Raises OSError for TLS files that cannot be used."""
         for number in range(min(self.settings.follow, len(self.settings.addresses))):
-            follower = Follower(self, number)
-            follower.link(self.addresses.pick(number))  # reports unusable key files at once
+            follower = RegistryFollower(self, number)
+            follower.http_client(self.addresses.pick(number))  # reports unusable key files at once
             self.followers.append(follower)
         self.tasks = [self.loop.create_task(follower.run()) for follower in self.followers]
 
@@ -199,15 +201,15 @@
         if self.timer is not None:
             self.timer.cancel()
         for follower in self.followers:
-            for link in follower.links.values():
+            for link in follower.http_clients.values():
                 link.close()
 
-    def ask(self) -> None:
+    def poll_now(self) -> None:
         """Polls for full lists out of turn: the routing module requests it, or the view needs another
         registry's confirmation."""
         now = self.now()
         for follower in self.followers:
-            if follower.pace.expedite(now):
+            if follower.schedule.expedite(now):
                 follower.wake.set()
 
     def on_snapshot(self, name: str, snapshot: Snapshot) -> None:
@@ -215,11 +217,11 @@
             self.note("registry answers again", {"registry": name})
         self._publish(self.view.on_snapshot(self.now(), name, snapshot))
 
-    def on_failure(self, name: str, why: str) -> None:
-        if self.failing.get(name) != why:
-            self.failing[name] = why
-            self.note("registry request failed", {"registry": name, "why": why})
-        self._publish(self.view.on_failure(self.now(), name, why))
+    def on_failure(self, name: str, reason: str) -> None:
+        if self.failing.get(name) != reason:
+            self.failing[name] = reason
+            self.note("registry request failed", {"registry": name, "why": reason})
+        self._publish(self.view.on_failure(self.now(), name, reason))
 
     def on_timer(self) -> None:
         """Applies the view's time limits that have passed."""
@@ -235,7 +237,7 @@
         self.view.notes.clear()
         if self.view.second_opinion_wanted:
             self.view.second_opinion_wanted = False
-            self.ask()
+            self.poll_now()
         timer_at = self.view.next_timer()
         if self.timer is not None:
             self.timer.cancel()
--- a/eiderstep/registry/decode.py
+++ b/eiderstep/registry/decode.py
@@ -38,13 +38,13 @@
 
 
 @dataclass(frozen=True)
-class Bounds:
+class ResponseLimits:
     """Limits on a response."""
 
-    answer: int = 64 << 20  # bytes of the decompressed body
-    fields: int = 256  # per instance
-    text: int = 4096  # characters per value
-    instances: int = 100_000
+    max_bytes: int = 64 << 20  # bytes of the decompressed body
+    max_fields: int = 256  # per instance
+    max_value_chars: int = 4096  # characters per value
+    max_instances: int = 100_000
 
 
 class Reader(Protocol):
@@ -57,22 +57,22 @@
 class _ListingBuilder:
     """Builds the listing from the fields of one instance after the other, and enforces the limits."""
 
-    def __init__(self, app: str, bounds: Bounds) -> None:
-        self.app, self.bounds = app.upper(), bounds
+    def __init__(self, app: str, limits: ResponseLimits) -> None:
+        self.app, self.limits = app.upper(), limits
         self.listing = Listing()
         self.received_bytes = 0
         self.row: dict[str, object] = {}
 
     def count_bytes(self, data: bytes) -> None:
         self.received_bytes += len(data)
-        if self.received_bytes > self.bounds.answer:
-            raise InvalidResponse(f"response of over {self.bounds.answer} bytes")
+        if self.received_bytes > self.limits.max_bytes:
+            raise InvalidResponse(f"response of over {self.limits.max_bytes} bytes")
 
     def set_field(self, name: str, value: object) -> None:
-        if len(self.row) >= self.bounds.fields:
-            raise InvalidResponse(f"instance with over {self.bounds.fields} fields")
-        if isinstance(value, str) and len(value) > self.bounds.text:
-            raise InvalidResponse(f"value of over {self.bounds.text} characters")
+        if len(self.row) >= self.limits.max_fields:
+            raise InvalidResponse(f"instance with over {self.limits.max_fields} fields")
+        if isinstance(value, str) and len(value) > self.limits.max_value_chars:
+            raise InvalidResponse(f"value of over {self.limits.max_value_chars} characters")
         self.row[name] = value
 
     def finish_row(self, app: str = "") -> None:
@@ -86,8 +86,8 @@
         self.add_instance(found)
 
     def check_instance_limit(self) -> None:
-        if len(self.listing.instances) + len(self.listing.others) >= self.bounds.instances:
-            raise InvalidResponse(f"over {self.bounds.instances} instances")
+        if len(self.listing.instances) + len(self.listing.others) >= self.limits.max_instances:
+            raise InvalidResponse(f"over {self.limits.max_instances} instances")
 
     def add_other_app(self, app: str, name: object, status: object, action: object) -> None:
         """Adds an instance of another app, of which only the hash needs the status."""
@@ -114,7 +114,7 @@
             text = str(value)
             self.listing.version = parse_int(text) if text.isascii() and text.isdigit() else None
         else:
-            self.listing.hashcode = str(value) if len(str(value)) <= self.bounds.text else None
+            self.listing.hashcode = str(value) if len(str(value)) <= self.limits.max_value_chars else None
 
 
 class _Row(msgspec.Struct):
@@ -144,8 +144,8 @@
     Eureka's two JSON codecs differ in whether they write a list of one element as a list; both are read.
     """
 
-    def __init__(self, app: str, bounds: Bounds | None = None) -> None:
-        self.builder = _ListingBuilder(app, bounds or Bounds())
+    def __init__(self, app: str, limits: ResponseLimits | None = None) -> None:
+        self.builder = _ListingBuilder(app, limits or ResponseLimits())
         self.rest = b""
         self.position = 0  # in `rest`: the end of what has been scanned
         self.start = 0  # in `rest`: the start of the instance being read
@@ -170,7 +170,7 @@
             else:
                 self.instance_depth -= 1
                 if not self.instance_depth:
-                    self._instance(buffer[self.start : end])
+                    self._decode_instance(buffer[self.start : end])
             position = end
             if self.instance_depth + self.depth > MAX_DEPTH:
                 raise InvalidResponse(f"nested over {MAX_DEPTH} levels deep")
@@ -202,7 +202,7 @@
         if self.skeleton_bytes > MAX_SKELETON_BYTES:
             raise InvalidResponse(f"over {MAX_SKELETON_BYTES} bytes outside the instances")
 
-    def _instance(self, data: bytes) -> None:
+    def _decode_instance(self, data: bytes) -> None:
         try:
             decoded = DECODE_ROW(data)
         except (msgspec.MsgspecError, UnicodeDecodeError) as problem:
@@ -253,8 +253,8 @@
     A document type is refused, because its entities could expand without bound.
     """
 
-    def __init__(self, app: str, bounds: Bounds | None = None) -> None:
-        self.builder = _ListingBuilder(app, bounds or Bounds())
+    def __init__(self, app: str, limits: ResponseLimits | None = None) -> None:
+        self.builder = _ListingBuilder(app, limits or ResponseLimits())
         self.path: list[str] = []
         self.text: list[str] = []
         self.text_chars = 0
@@ -295,8 +295,8 @@
 
     def _chars(self, data: str) -> None:
         self.text_chars += len(data)
-        if self.text_chars > self.builder.bounds.text:
-            raise InvalidResponse(f"value of over {self.builder.bounds.text} characters")
+        if self.text_chars > self.builder.limits.max_value_chars:
+            raise InvalidResponse(f"value of over {self.builder.limits.max_value_chars} characters")
         self.text.append(data)
 
     def _end(self, name: str) -> None:
@@ -328,13 +328,13 @@
     return lines[0][:80] if lines else type(problem).__name__
 
 
-def reader_for(content_type: str, app: str, bounds: Bounds | None = None) -> Reader:
+def reader_for(content_type: str, app: str, limits: ResponseLimits | None = None) -> Reader:
     """The reader for a Content-Type.  Raises InvalidResponse for any other, such as a proxy's HTML."""
     media_type = content_type.partition(";")[0].strip().lower()
     if media_type in ("application/json", "text/json") or media_type.endswith("+json"):
-        return JsonReader(app, bounds)
+        return JsonReader(app, limits)
     if media_type in ("application/xml", "text/xml"):
-        return XmlReader(app, bounds)
+        return XmlReader(app, limits)
     raise InvalidResponse(
         f"Content-Type {media_type[:60] or 'missing'}; allowed: application/json, application/xml"
     )
--- a/eiderstep/registry/survey.py
+++ b/eiderstep/registry/diagnostics.py
@@ -9,8 +9,8 @@
 
 from eiderstep import interface as io
 from eiderstep.config.schema import Registry
-from eiderstep.registry.client import Follower, RegistryClient
-from eiderstep.registry.http import Failed
+from eiderstep.registry.client import RegistryClient, RegistryFollower
+from eiderstep.registry.http import RequestFailed
 from eiderstep.registry.registrant import Registrant
 
 
@@ -18,7 +18,7 @@
     """A callback that discards its arguments."""
 
 
-async def survey(
+async def poll_all(
     settings: Registry, configured: tuple[io.OfficeEntry, ...], loop: asyncio.AbstractEventLoop
 ) -> dict[str, Any]:
     """Asks every registry address once.
@@ -31,10 +31,12 @@
         loop, settings, _ignore, lambda event, fields: notes.append({"event": event, **fields}), Random(1),
         configured,
     )  # fmt: skip
-    followers = client.followers = [Follower(client, number) for number in range(len(settings.addresses))]
+    followers = client.followers = [
+        RegistryFollower(client, number) for number in range(len(settings.addresses))
+    ]
     for follower in followers:
         client.addresses.pick(follower.number)
-    await asyncio.gather(*(follower.turn() for follower in followers))
+    await asyncio.gather(*(follower.poll_once() for follower in followers))
     registries = []
     for name, follower in zip(settings.addresses, followers, strict=True):
         table, registry = follower.table, client.view.registries[name]
@@ -63,7 +65,7 @@
     return {"registries": registries, "exchanges": rows, "notes": notes, "counts": client.view.counts}
 
 
-async def watch(
+async def watch_updates(
     settings: Registry, configured: tuple[io.OfficeEntry, ...], loop: asyncio.AbstractEventLoop,
     report: Callable[[dict[str, Any]], None],
 ) -> None:  # fmt: skip
@@ -88,7 +90,9 @@
         client.stop()
 
 
-async def override(settings: Registry, number: int, status: str, loop: asyncio.AbstractEventLoop) -> int:
+async def set_status_override(
+    settings: Registry, number: int, status: str, loop: asyncio.AbstractEventLoop
+) -> int:
     """Sets the status override of this call server's own entry, or removes it if `status` is empty.
 
     Tries each address in turn and returns the response's status.  Raises Failed with the last failure.
@@ -99,6 +103,6 @@
     for _ in settings.addresses:
         try:
             return await registrant.send(registrant.lease.override_request(status))
-        except Failed as problem:
+        except RequestFailed as problem:
             why = str(problem)
-    raise Failed(why)
+    raise RequestFailed(why)
--- a/eiderstep/registry/http.py
+++ b/eiderstep/registry/http.py
@@ -2,7 +2,7 @@
 
 A registry cannot block or exhaust the call server: there are timeouts for connecting, between two bytes and
 for the whole response, and a gzip'd body is decompressed in small chunks, so that the sink can limit its
-size.  Every error is raised as `Failed` with a message for the log.
+size.  Every error is raised as `RequestFailed` with a message for the log.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 Trace = Callable[[int, str, str, str, bytes], None]
 
 
-class Failed(Exception):
+class RequestFailed(Exception):
     """The request got no usable response."""
 
 
@@ -37,7 +37,7 @@
 
 
 @dataclass(frozen=True)
-class Times:
+class RequestTimeouts:
     """Timeouts in seconds."""
 
     connect: float
@@ -45,7 +45,7 @@
     total: float  # for a whole response
 
     @classmethod
-    def of(cls, settings: Registry) -> Times:
+    def of(cls, settings: Registry) -> RequestTimeouts:
         """The timeouts in the settings."""
         return cls(settings.dial / SECOND, settings.silence / SECOND, settings.whole / SECOND)
 
@@ -76,8 +76,8 @@
 class _Connection(asyncio.Protocol):
     """One TCP or TLS connection, with at most one request in flight."""
 
-    def __init__(self, link: Link, label: str) -> None:
-        self.link, self.label = link, label
+    def __init__(self, client: HttpClient, label: str) -> None:
+        self.client, self.label = client, label
         self.transport: Any = None
         self.parser: Any = None
         self.pending: asyncio.Future[Response] | None = None
@@ -93,33 +93,33 @@
         self._trace("up", b"")
 
     def _trace(self, direction: str, data: bytes) -> None:
-        link = self.link
+        link = self.client
         if link.trace is not None:
             link.trace(int(link.loop.time() * SECOND), self.label, link.address, direction, data)
 
     def send(self, data: bytes, open_sink: Callable[[int, dict[str, str]], Any]) -> asyncio.Future[Response]:
-        self.pending = self.link.loop.create_future()
+        self.pending = self.client.loop.create_future()
         self.response, self.open_sink, self.decompressor = Response(), open_sink, None
         self.complete = False
         self.unread_chunks.clear()
         self.parser = httptools.HttpResponseParser(self)
-        self.last_data_at = self.link.loop.time()
+        self.last_data_at = self.client.loop.time()
         self._trace("out", data)
         self.transport.write(data)
         return self.pending
 
     def data_received(self, data: bytes) -> None:
         self._trace("in", data)
-        self.last_data_at = self.link.loop.time()
+        self.last_data_at = self.client.loop.time()
         if self.pending is None or self.pending.done():
-            self.fail("received data while no request was pending")
+            self.abort("received data while no request was pending")
             return
         self.response.received_bytes += len(data)
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade, ValueError, zlib.error) as problem:
             # httptools wraps the exceptions that its callbacks raise
-            self.fail(f"invalid response: {problem.__context__ or problem}")
+            self.abort(f"invalid response: {problem.__context__ or problem}")
 
     def on_header(self, name: bytes, value: bytes) -> None:
         if len(self.response.headers) >= MAX_HEADERS:
@@ -140,7 +140,7 @@
     def on_body(self, body: bytes) -> None:
         if self.response.sink is not None:
             if not self.unread_chunks:
-                self.link.loop.call_soon(self._read_chunk)
+                self.client.loop.call_soon(self._read_chunk)
                 self.transport.pause_reading()
             self.unread_chunks.append(body)
 
@@ -162,16 +162,16 @@
                 self.response.sink.feed(self.decompressor.decompress(chunk, CHUNK_BYTES))
                 rest = self.decompressor.unconsumed_tail
         except (ValueError, zlib.error) as problem:
-            self.fail(f"invalid response: {problem}")
+            self.abort(f"invalid response: {problem}")
             return
         if rest:
             self.unread_chunks[0] = rest
         else:
             self.unread_chunks.popleft()
         if self.unread_chunks:
-            self.link.loop.call_soon(self._read_chunk)
+            self.client.loop.call_soon(self._read_chunk)
             return
-        self.last_data_at = self.link.loop.time()
+        self.last_data_at = self.client.loop.time()
         if not self.closed:
             self.transport.resume_reading()
         if self.complete:
@@ -184,16 +184,16 @@
 
     def _finish(self) -> None:
         if self.decompressor is not None and self.response.sink is not None and not self.decompressor.eof:
-            self.fail("truncated gzip body")
+            self.abort("truncated gzip body")
             return
         if self.pending is not None and not self.pending.done():
             self.pending.set_result(self.response)
         if not self.parser.should_keep_alive() and not self.closed:
             self.transport.close()
 
-    def fail(self, why: str) -> None:
+    def abort(self, reason: str) -> None:
         if self.pending is not None and not self.pending.done():
-            self.pending.set_exception(Failed(why))
+            self.pending.set_exception(RequestFailed(reason))
         if self.transport is not None:
             self.transport.abort()
 
@@ -204,24 +204,24 @@
             return  # the response is complete; its remaining chunks are still being read
         if self.pending is not None and not self.pending.done():
             when = " before the response was complete" if self.response.received_bytes else ""
-            self.pending.set_exception(Failed(f"connection lost{when}"))
+            self.pending.set_exception(RequestFailed(f"connection lost{when}"))
 
 
-class Link:
+class HttpClient:
     """Sends requests to one address, one at a time, over a connection that is kept open and reopened."""
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, address: str, times: Times, tls: Tls | None = None,
+        self, loop: asyncio.AbstractEventLoop, address: str, times: RequestTimeouts, tls: Tls | None = None,
         trace: Trace | None = None,
     ) -> None:  # fmt: skip
         """Raises OSError (and so ssl.SSLError) for TLS files that cannot be used."""
         self.loop, self.address, self.times, self.trace = loop, address, times, trace
         self.context = client_context(tls) if tls is not None else None
         self.server_name = tls.name or None if tls is not None else None
-        self.wire: _Connection | None = None
+        self.connection: _Connection | None = None
         self.connections_made = 0
 
-    async def ask(
+    async def request(
         self,
         method: str,
         path: str,
@@ -240,18 +240,23 @@
         if body or method in ("POST", "PUT"):
             lines.append(f"Content-Length: {len(body)}")
         data = "\r\n".join(lines).encode() + b"\r\n\r\n" + body
-        reused = self.wire is not None and not self.wire.closed
+        reused = self.connection is not None and not self.connection.closed
         try:
             return await self._send_once(data, open_sink)
-        except Failed:
-            if not reused or self.wire is None or self.wire.response.received_bytes or not self.wire.closed:
+        except RequestFailed:
+            if (
+                not reused
+                or self.connection is None
+                or self.connection.response.received_bytes
+                or not self.connection.closed
+            ):
                 raise
             return await self._send_once(data, open_sink)
 
     async def _send_once(self, data: bytes, open_sink: Callable[[int, dict[str, str]], Any]) -> Response:
-        connection = self.wire
+        connection = self.connection
         if connection is None or connection.closed or connection.transport.is_closing():
-            connection = self.wire = await self._connect()
+            connection = self.connection = await self._connect()
         times, loop = self.times, self.loop
         pending = connection.send(data, open_sink)
         deadline = loop.time() + times.total
@@ -262,7 +267,7 @@
                 if now >= timeout_at:
                     over_deadline = now >= deadline
                     idle_message = f"no data received for {times.idle:g} s"
-                    connection.fail(
+                    connection.abort(
                         f"response not complete after {times.total:g} s" if over_deadline else idle_message
                     )
                     break
@@ -287,11 +292,11 @@
             )
             _, connection = await asyncio.wait_for(connecting, self.times.connect)
         except (TimeoutError, OSError) as problem:
-            raise Failed(f"could not connect: {problem or 'timeout'}") from None
+            raise RequestFailed(f"could not connect: {problem or 'timeout'}") from None
         if connection.closed:
-            raise Failed("connection lost")
+            raise RequestFailed("connection lost")
         return connection
 
     def close(self) -> None:
-        if self.wire is not None and not self.wire.closed:
-            self.wire.transport.close()
+        if self.connection is not None and not self.connection.closed:
+            self.connection.transport.close()
--- a/eiderstep/registry/pace.py
+++ b/eiderstep/registry/poll_schedule.py
@@ -17,7 +17,7 @@
 MAX_FULL_GAP_POLLS = 32  # longest gap between full lists while the hash does not match, in poll intervals
 
 
-class Ask(Enum):
+class PollKind(Enum):
     """Which list to request."""
 
     FULL = "full"
@@ -67,36 +67,36 @@
     def __init__(self, poll: int, full_every: int, rng: Random) -> None:
         self.poll, self.full_every, self.rng = poll, full_every, rng
         self.failures = 0
-        self.full_at = -1  # when the last full list was taken; -1 requests one
+        self.last_full_at = -1  # when the last full list was taken; -1 requests one
         self.table_address = ""  # the address that the table's full list came from
         self.mismatches = 0  # responses in a row after which the hash did not match
         self.expedited_at = -1
 
-    def next_kind(self, now: int, name: str) -> Ask:
+    def next_kind(self, now: int, name: str) -> PollKind:
         """Whether to request a full list or a delta from `name`.
 
         A delta applies only to a table of the same registry that is younger than `full_every`.
         """
-        if self.full_at < 0 or self.table_address != name:
-            return Ask.FULL
-        if self.full_every and now - self.full_at >= self.full_every:
-            return Ask.FULL
+        if self.last_full_at < 0 or self.table_address != name:
+            return PollKind.FULL
+        if self.full_every and now - self.last_full_at >= self.full_every:
+            return PollKind.FULL
         # Full lists are requested 1, 2, 4, ... polls apart while the hash does not match, so that a registry
         # whose hash never matches need not send one at each poll.  The cost: a mismatch that the next full
         # list would have repaired lasts for that long.
         gap = min(2 ** (self.mismatches - 1), MAX_FULL_GAP_POLLS) if self.mismatches else 0
-        if gap and now - self.full_at >= (gap - 0.5) * self.poll:
-            return Ask.FULL
-        return Ask.DELTA
+        if gap and now - self.last_full_at >= (gap - 0.5) * self.poll:
+            return PollKind.FULL
+        return PollKind.DELTA
 
-    def on_response(self, now: int, name: str, kind: Ask, hash_matches: bool) -> int:
+    def on_response(self, now: int, name: str, kind: PollKind, hash_matches: bool) -> int:
         """Records a usable response and returns the delay until the next poll (ns)."""
         recovered = self.failures > 0
         self.failures = 0
         self.mismatches = 0 if hash_matches else self.mismatches + 1
-        if kind is Ask.FULL:
-            self.full_at, self.table_address = now, name
-        if not hash_matches and self.mismatches == 1 and kind is Ask.DELTA:
+        if kind is PollKind.FULL:
+            self.last_full_at, self.table_address = now, name
+        if not hash_matches and self.mismatches == 1 and kind is PollKind.DELTA:
             # The first mismatch requests a full list early, spread over the followers.
             return int(self.poll * self.rng.random() / 4)
         if recovered:
@@ -120,5 +120,5 @@
         if self.expedited_at >= 0 and now - self.expedited_at < self.poll:
             return False
         self.expedited_at = now
-        self.full_at = -1
+        self.last_full_at = -1
         return True
--- a/eiderstep/registry/registrant.py
+++ b/eiderstep/registry/registrant.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from eiderstep.config.schema import Registry
-from eiderstep.registry.http import Failed, Link, Times, Trace
+from eiderstep.registry.http import HttpClient, RequestFailed, RequestTimeouts, Trace
 from eiderstep.registry.lease import Lease, LeaseState, Registration, Request
 
 SECOND = 1_000_000_000
@@ -27,8 +27,10 @@
         own = settings.lease
         host, _, port = address.rpartition(":")
         self.loop, self.settings, self.note, self.wall_ms = loop, settings, note, wall_ms
-        times = Times.of(settings)
-        self.links = [Link(loop, name, times, settings.tls, trace) for name in settings.addresses]
+        times = RequestTimeouts.of(settings)
+        self.http_clients = [
+            HttpClient(loop, name, times, settings.tls, trace) for name in settings.addresses
+        ]
         self.address_index = 0
         started_ms = wall_ms()
         # The same metadata keys as the exchanges use, so that others can follow this server by them.
@@ -39,7 +41,7 @@
         self.wake = asyncio.Event()
         self.task: asyncio.Task[None] | None = None
         self.removal_allowed = asyncio.Event()
-        self.over = loop.create_future()
+        self.finished = loop.create_future()
 
     def now(self) -> int:
         return int(self.loop.time() * SECOND)
@@ -47,12 +49,12 @@
     def start(self) -> None:
         self.task = self.loop.create_task(self._run())
 
-    def leave(self) -> None:
-        """Registers as DOWN at once; the entry itself is removed only after `cancel`."""
+    def begin_leaving(self) -> None:
+        """Registers as DOWN at once; the entry itself is removed only after `allow_removal`."""
         self.lease.leave(self.now(), self.wall_ms())
         self.wake.set()
 
-    def cancel(self) -> None:
+    def allow_removal(self) -> None:
         """Allows the entry to be removed, once all calls are answered and released."""
         self.removal_allowed.set()
         self.wake.set()
@@ -61,7 +63,7 @@
         """Stops without deregistration: the entry stays until its lease expires."""
         if self.task is not None:
             self.task.cancel()
-        for link in self.links:
+        for link in self.http_clients:
             link.close()
 
     async def send(self, request: Request) -> int:
@@ -74,12 +76,14 @@
             headers["Content-Type"] = "application/json"
         path = f"{self.settings.path}{request.path}"
         try:
-            response = await self.links[self.address_index].ask(request.method, path, headers, request.body)
-        except Failed:
-            self.address_index = (self.address_index + 1) % len(self.links)
+            response = await self.http_clients[self.address_index].request(
+                request.method, path, headers, request.body
+            )
+        except RequestFailed:
+            self.address_index = (self.address_index + 1) % len(self.http_clients)
             raise
         if response.status >= 500:
-            self.address_index = (self.address_index + 1) % len(self.links)
+            self.address_index = (self.address_index + 1) % len(self.http_clients)
         return response.status
 
     async def _run(self) -> None:
@@ -93,7 +97,7 @@
             state_sent = lease.state
             try:
                 status = await self.send(request)
-            except Failed as problem:
+            except RequestFailed as problem:
                 if lease.state is state_sent:
                     lease.on_failure(self.now())
                 self.note("registration failed", {"what": state_sent.name, "why": str(problem)})
@@ -109,6 +113,6 @@
                 with contextlib.suppress(TimeoutError):
                     await asyncio.wait_for(self.wake.wait(), wait)
                 self.wake.clear()
-        for link in self.links:
+        for link in self.http_clients:
             link.close()
-        self.over.set_result(None)
+        self.finished.set_result(None)
--- a/eiderstep/registry/choice.py
+++ b/eiderstep/registry/source_selection.py
@@ -13,7 +13,7 @@
 ListUpdate = tuple[ListKind, tuple[OfficeEntry, ...]]
 
 
-class Choice:
+class SourceSelector:
     """The list in force of two sources, which the caller names.  Times in ns."""
 
     def __init__(self, primary: str, fallback_after: int) -> None:
@@ -24,7 +24,7 @@
         self.primary_down_since = 0  # -1 while the primary answers; it counts as down until its first list
         self.on_fallback = False
 
-    def heard(
+    def on_update(
         self, now: int, name: str, kind: ListKind, entries: tuple[OfficeEntry, ...]
     ) -> list[ListUpdate]:
         """Takes an update from the source `name` and returns the updates to forward to the routing module."""
@@ -33,10 +33,10 @@
                 return []
             if self.primary_down_since < 0:
                 self.primary_down_since = now
-            return [(kind, entries), *self.due(now)]
+            return [(kind, entries), *self.check_fallback(now)]
         self._store(name, kind, entries)
         if name != self.primary:
-            return [(kind, entries)] if self.on_fallback else self.due(now)
+            return [(kind, entries)] if self.on_fallback else self.check_fallback(now)
         if name in self.entries_by_source:
             self.primary_down_since = -1
         if self.on_fallback and name in self.entries_by_source:
@@ -44,16 +44,16 @@
             return [(ListKind.COMPLETE, tuple(self.entries_by_source[name].values()))]
         return [] if self.on_fallback else [(kind, entries)]
 
-    def due(self, now: int) -> list[ListUpdate]:
+    def check_fallback(self, now: int) -> list[ListUpdate]:
         """Switches to the fallback's list if the primary has been down long enough; else returns nothing."""
-        switch_at = self.next_due()
+        switch_at = self.next_fallback_at()
         if switch_at is None or now < switch_at:
             return []
         self.on_fallback = True
         fallback = next(entries for name, entries in self.entries_by_source.items() if name != self.primary)
         return [(ListKind.COMPLETE, tuple(fallback.values()))]
 
-    def next_due(self) -> int | None:
+    def next_fallback_at(self) -> int | None:
         """When the fallback comes into force if the primary stays down; None if that is not pending."""
         fallback_ready = any(name != self.primary for name in self.entries_by_source)
         if self.on_fallback or self.primary_down_since < 0 or not fallback_ready:
--- a/eiderstep/registry/view.py
+++ b/eiderstep/registry/view.py
@@ -195,14 +195,14 @@
         self._handle_missing(now, name, registry, missing)
         updates = self._resolve_pending(now)
         if recovered and self.complete_reported:
-            # After a FAILED update, choice.py waits for a complete list even if nothing has changed.
+            # After a FAILED update, SourceSelector waits for a complete list even if nothing has changed.
             return [(ListKind.COMPLETE, self.entries())]
         return updates
 
-    def on_failure(self, now: int, name: str, why: str) -> list[ListUpdate]:
+    def on_failure(self, now: int, name: str, reason: str) -> list[ListUpdate]:
         """Records that the registry `name` could not be asked or that its response was unusable."""
         registry = self.registries.setdefault(name, RegistryState())
-        registry.failure = why
+        registry.failure = reason
         if registry.silent_since < 0:
             registry.silent_since = now
         updates = self._resolve_pending(now)
--- a/eiderstep/server/doors.py
+++ b/eiderstep/server/connections.py
@@ -14,16 +14,16 @@
 
 from eiderstep.config.schema import ServerSettings
 from eiderstep.engine.core import Engine
-from eiderstep.server.wire import DatagramSocket, StreamConnection, Trace
+from eiderstep.server.transport import DatagramSocket, StreamConnection, Trace
 from eiderstep.sip.message import Message, split_address
 from eiderstep.sip.parser import BadMessage, Limits
+from eiderstep.trust.certificates import CertificateInfo, KeysError, certificate_error, expiry_warning
 from eiderstep.trust.limits import SourceLimiter, Verdict
-from eiderstep.trust.pace import Thinner
+from eiderstep.trust.pace import LogRateLimiter
 from eiderstep.trust.party import Party, exchange_identity
-from eiderstep.trust.proof import CertificateInfo, KeysError, certificate_error, expiry_warning
 
 if TYPE_CHECKING:
-    from eiderstep.server.tls import Keys
+    from eiderstep.server.tls import Credentials
 
 SECOND = 1_000_000_000
 MAX_BACKOFF_FACTOR = 8  # longest pause between two dials, as a multiple of the first one
@@ -48,11 +48,11 @@
         self.handshake_queue: deque[tuple[StreamConnection, bytes]] = deque()
         self.silent_since: dict[int, float] = {}  # flow without a message: since when (s)
         self.limiter = SourceLimiter(limits.source, limits.connections)
-        self.log_limiter = Thinner()
+        self.log_limiter = LogRateLimiter()
         self.read_paused: set[int] = set()  # flows whose socket is temporarily not read
         self.peer_certificates: dict[int, CertificateInfo] = {}  # by flow; authenticated TLS connections only
         self.replaced_flows: set[int] = set()  # flows of dialled links that a newer link has replaced
-        self.credentials: Keys | None = None
+        self.credentials: Credentials | None = None
         self.tls_listener: Any = None
         self.tls_address = ""
         self.dial_tasks: dict[str, asyncio.Task[None]] = {}
@@ -91,9 +91,9 @@
         self.address = f"{name[0]}:{name[1]}"
         tls = self.settings.trust.tls
         if tls is not None:
-            from eiderstep.server.tls import Keys  # requires the optional dependencies `keys`
+            from eiderstep.server.tls import Credentials  # requires the optional dependencies `keys`
 
-            self.credentials = Keys(tls)
+            self.credentials = Credentials(tls)
             self._warn_own_expiry()
             host, port = split_address(tls.listen)
             self.tls_listener = await self.loop.create_server(self._accept_tls, host, port, backlog=1024)
@@ -121,11 +121,13 @@
         return StreamConnection(self, self.last_flow)
 
     def _accept_tls(self) -> StreamConnection:
-        from eiderstep.server.tls import Tls
+        from eiderstep.server.tls import TlsConnection
 
         assert self.credentials is not None
         self.last_flow += 1
-        return StreamConnection(self, self.last_flow, tls=Tls(self.credentials.server_context, True))
+        return StreamConnection(
+            self, self.last_flow, tls=TlsConnection(self.credentials.server_context, True)
+        )
 
     def handshake_started(self, connection: StreamConnection) -> bool:
         """Register a TLS connection before its handshake; returns whether the handshake may begin."""
@@ -133,9 +135,9 @@
             return False
         if not connection.dialled:
             # Until the peer is authenticated, the connection counts against the limits of its IP address.
-            host, book = connection.peer_host, self.engine.book
-            named = book.is_exchange_address(host)
-            known = named or book.by_address(host).known
+            host, directory = connection.peer_host, self.engine.party_directory
+            named = directory.is_exchange_address(host)
+            known = named or directory.by_address(host).known
             why = self.limiter.admit_connection(
                 self.now(), connection.flow, host, named, known, handshake=True
             )
@@ -179,9 +181,9 @@
                 return
         else:
             party = (
-                engine.at_link(connection.dialled)
+                engine.party_at_link(connection.dialled)
                 if connection.dialled
-                else engine.book.by_address(connection.peer_host)
+                else engine.party_directory.by_address(connection.peer_host)
             )
         if not connection.dialled:
             source = party.source
@@ -202,18 +204,18 @@
         self.connections[connection.flow] = connection
         assert connection.transport is not None
         connection.transport.set_write_buffer_limits(high=self.settings.limits.unsent // 4)
-        engine.meet(connection.flow, party)
+        engine.set_party(connection.flow, party)
 
     def _authenticate(self, connection: StreamConnection) -> Party | None:
         """The peer that the certificate identifies; None where it is not accepted (closes the connection)."""
         assert connection.tls is not None and self.engine is not None and self.credentials is not None
-        tls, book = self.settings.trust.tls, self.engine.book
+        tls, directory = self.settings.trust.tls, self.engine.party_directory
         assert tls is not None
         certificate = connection.tls.peer_certificate()
         why = certificate_error(
             certificate, self.epoch() / 1000, self.credentials.revocation_list, tls.slack / SECOND
         )
-        party = book.by_identity(certificate.names, connection.peer_host)
+        party = directory.by_identity(certificate.names, connection.peer_host)
         if not why and connection.dialled:
             number = self.engine.offices.get(connection.dialled, -1)
             if number not in party.exchanges:
@@ -227,16 +229,16 @@
         self.peer_certificates[connection.flow] = certificate
         return party
 
-    def authentication_failed(self, connection: StreamConnection, why: str) -> None:
+    def authentication_failed(self, connection: StreamConnection, reason: str) -> None:
         """A TLS handshake failed or timed out, or the peer's certificate is not accepted: abort."""
         self.handshaking.pop(connection.flow, None)
-        fields = {"peer": connection.peer, "dialled": bool(connection.dialled), "why": why}
+        fields = {"peer": connection.peer, "dialled": bool(connection.dialled), "why": reason}
         self._log_limited("warning", "peer not authenticated", connection.peer_host, fields)
         connection.rejected = True
         connection.abort()
 
     def connection_closed(self, connection: StreamConnection) -> None:
-        """A connection is closed: forget its state, and tell the engine if the connection had been ready."""
+        """A connection is closed: remove its state, and notify the engine if it had been ready."""
         self.handshaking.pop(connection.flow, None)
         self.silent_since.pop(connection.flow, None)
         self.peer_certificates.pop(connection.flow, None)
@@ -254,7 +256,7 @@
 
     # -- received messages ---------------------------------------------------------------------------------
 
-    def came(self, flow: int, items: list[Message | BadMessage], reliable: bool) -> None:
+    def messages_received(self, flow: int, items: list[Message | BadMessage], reliable: bool) -> None:
         """Process the messages of one segment: all with the same time, as one batch for the module."""
         if self.engine is None:
             return
@@ -262,19 +264,19 @@
         if self.silent_since.pop(flow, None) is not None:
             limiter.mark_active(flow)
         now = self.now()
-        engine.waited = self._read_delay(now)
+        engine.queueing_delay = self._read_delay(now)
         slow = False
         for item in items:
             verdict = limiter.check_message(now, flow)
-            if isinstance(item, BadMessage) or not engine.who(flow).known:
-                if limiter.record_fault(now, flow, flow in engine.on_flow) is Verdict.CLOSE:
+            if isinstance(item, BadMessage) or not engine.party_of(flow).known:
+                if limiter.record_fault(now, flow, flow in engine.legs_by_flow) is Verdict.CLOSE:
                     self._close_for_faults(flow)
                     return
             if verdict is Verdict.TAKE:
-                engine.message(now, flow, item, reliable)
+                engine.handle_message(now, flow, item, reliable)
                 continue
             slow = slow or verdict is Verdict.SLOW
-            engine.over_rate(now, flow, item, reliable, limiter.retry_after(flow))
+            engine.handle_over_rate(now, flow, item, reliable, limiter.retry_after(flow))
         if slow:
             self._pause_reading(flow)
         self._flush()
@@ -310,7 +312,7 @@
 
     def _log_limited(self, level: str, event: str, source: str, fields: dict[str, Any]) -> None:
         """Write a log line that a remote end can provoke, at a limited rate for each event and source."""
-        suppressed = self.log_limiter.line(self.now(), (event, source))
+        suppressed = self.log_limiter.count_line(self.now(), (event, source))
         if suppressed >= 0:
             self.log(level, event, "", fields | ({"held_back": suppressed} if suppressed else {}))
 
@@ -333,7 +335,7 @@
                 break  # insertion order: all later ones are younger
             if flow in self.connections:
                 del self.silent_since[flow]
-                if self.engine is not None and self.engine.who(flow).exchanges:
+                if self.engine is not None and self.engine.party_of(flow).exchanges:
                     continue
                 connection = self.connections[flow]
                 self._log_limited(
@@ -452,7 +454,9 @@
         assert engine is not None
         for flow in list(self.replaced_flows):
             connection = self.connections.get(flow)
-            if connection is not None and not (flow in engine.on_flow or flow in engine.transactions.by_flow):
+            if connection is not None and not (
+                flow in engine.legs_by_flow or flow in engine.transactions.by_flow
+            ):
                 connection.close()
 
     # -- dialled links -------------------------------------------------------------------------------------
@@ -493,12 +497,16 @@
         limit = self.settings.limits.dial / SECOND
         factory = partial(StreamConnection, self, flow, address)
         if self._uses_tls(address):
-            from eiderstep.server.tls import Tls
+            from eiderstep.server.tls import TlsConnection
 
             assert self.credentials is not None
             session = self.credentials.sessions.get(address)
             factory = partial(
-                StreamConnection, self, flow, address, Tls(self.credentials.client, False, session)
+                StreamConnection,
+                self,
+                flow,
+                address,
+                TlsConnection(self.credentials.client_context, False, session),
             )
         try:
             dial = self.loop.create_connection(factory, host, port, **self._local_address(host))
@@ -560,8 +568,8 @@
             flow = self.datagram_flows[address] = self.last_flow
             self.datagram_peers[flow] = address
             if self.engine is not None:
-                self.engine.unreliable.add(flow)
-                self.engine.meet(flow, self.engine.book.by_address(address[0]))
+                self.engine.unreliable_flows.add(flow)
+                self.engine.set_party(flow, self.engine.party_directory.by_address(address[0]))
         return flow
 
     def _evict_datagram_flows(self) -> None:
@@ -573,11 +581,11 @@
         idle = [
             address
             for address, flow in self.datagram_flows.items()
-            if engine is None or not (flow in engine.on_flow or flow in engine.transactions.by_flow)
+            if engine is None or not (flow in engine.legs_by_flow or flow in engine.transactions.by_flow)
         ]
         for address in idle[: self.settings.limits.connections // 2]:
             flow = self.datagram_flows.pop(address)
             del self.datagram_peers[flow]
             if engine is not None:
-                engine.unreliable.discard(flow)
+                engine.unreliable_flows.discard(flow)
                 engine.parties.pop(flow, None)
--- a/eiderstep/server/lists.py
+++ b/eiderstep/server/exchange_lists.py
@@ -10,11 +10,11 @@
 
 from eiderstep import interface as io
 from eiderstep.config.schema import ServerSettings
-from eiderstep.registry.choice import Choice
 from eiderstep.registry.client import RegistryClient
 from eiderstep.registry.registrant import Registrant
+from eiderstep.registry.source_selection import SourceSelector
 from eiderstep.server.register import RegisterClient
-from eiderstep.server.wire import Trace
+from eiderstep.server.transport import Trace
 
 SECOND = 1_000_000_000
 ListUpdates = list[tuple[io.ListKind, tuple[io.OfficeEntry, ...]]]
@@ -44,7 +44,9 @@
         self.registry: RegistryClient | None = None
         self.registrant: Registrant | None = None
         two_sources = settings.register is not None and settings.registry is not None
-        self.choice = Choice(settings.list_from, settings.fallback_after) if two_sources else None
+        self.source_selector = (
+            SourceSelector(settings.list_from, settings.fallback_after) if two_sources else None
+        )
         self.fallback_timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
@@ -59,7 +61,7 @@
         if settings.registry is not None:
             self.registry = RegistryClient(
                 server.loop, settings.registry, partial(self._update_received, "registry"), self._log_warning,
-                Random(settings.seed ^ 0xE0EA), settings.named(), server.trace,
+                Random(settings.seed ^ 0xE0EA), settings.configured_offices(), server.trace,
             )  # fmt: skip
             self.registry.start()
             if settings.registry.lease is not None:
@@ -83,33 +85,33 @@
         if self.register is not None:
             self.register.request_list()
         if self.registry is not None:
-            self.registry.ask()
+            self.registry.poll_now()
 
     def _update_received(self, source: str, kind: io.ListKind, entries: tuple[io.OfficeEntry, ...]) -> None:
-        if self.choice is None:
+        if self.source_selector is None:
             self.server.list_changed([(kind, entries)])
             return
-        was_on_fallback = self.choice.on_fallback
-        self.server.list_changed(self.choice.heard(self.server.now(), source, kind, entries))
+        was_on_fallback = self.source_selector.on_fallback
+        self.server.list_changed(self.source_selector.on_update(self.server.now(), source, kind, entries))
         self._after_update(was_on_fallback)
 
     def _after_update(self, was_on_fallback: bool) -> None:
         """Log a change of the active list, and set the timer for switching to the fallback."""
-        choice = self.choice
+        choice = self.source_selector
         assert choice is not None
         if choice.on_fallback != was_on_fallback:
             self._log_warning("active list of exchanges changed", {"fallback": choice.on_fallback})
         if self.fallback_timer is not None:
             self.fallback_timer.cancel()
             self.fallback_timer = None
-        due = choice.next_due()
+        due = choice.next_fallback_at()
         if due is not None:
             self.fallback_timer = self.server.loop.call_at(due / SECOND + 0.001, self._fallback_due)
 
     def _fallback_due(self) -> None:
-        assert self.choice is not None
-        was_on_fallback = self.choice.on_fallback
-        self.server.list_changed(self.choice.due(self.server.now()))
+        assert self.source_selector is not None
+        was_on_fallback = self.source_selector.on_fallback
+        self.server.list_changed(self.source_selector.check_fallback(self.server.now()))
         self._after_update(was_on_fallback)
 
     def _log_warning(self, event: str, fields: dict[str, Any]) -> None:
--- a/eiderstep/server/process.py
+++ b/eiderstep/server/process.py
@@ -14,10 +14,10 @@
 
 from eiderstep.config.load import ConfigError
 from eiderstep.config.schema import ServerSettings
-from eiderstep.server.doors import Logger
-from eiderstep.server.node import CallServer
-from eiderstep.server.watch import settle_collector
-from eiderstep.server.wire import Trace
+from eiderstep.server.call_server import CallServer
+from eiderstep.server.connections import Logger
+from eiderstep.server.transport import Trace
+from eiderstep.server.watch import tune_garbage_collector
 
 
 class CaptureFile:
@@ -30,8 +30,8 @@
         self.file = path.open("wb", buffering=1 << 20)
         self.node_name, self.encode = node, msgspec.json.Encoder().encode
 
-    def __call__(self, time: int, label: str, peer: str, way: str, data: bytes) -> None:
-        row = (time, self.node_name, label, peer, way, data.decode("latin-1"))
+    def __call__(self, time: int, label: str, peer: str, event: str, data: bytes) -> None:
+        row = (time, self.node_name, label, peer, event, data.decode("latin-1"))
         self.file.write(self.encode(row) + b"\n")
 
     def close(self) -> None:
@@ -64,7 +64,7 @@
     read_settings: Callable[[], ServerSettings],
 ) -> None:  # fmt: skip
     loop = asyncio.get_running_loop()
-    server = CallServer(loop, settings, log, trace, lambda: int(time.time() * 1000), ids=SystemRandom())
+    server = CallServer(loop, settings, log, trace, lambda: int(time.time() * 1000), id_source=SystemRandom())
     stop_requested = False
 
     def on_stop_signal() -> None:
@@ -79,7 +79,7 @@
 
     def on_reload_signal() -> None:
         try:
-            server.resize(read_settings())
+            server.resize_groups(read_settings())
             server.reload_credentials()
         except ConfigError as problem:
             log("error", "settings could not be read", "", {"why": str(problem)})
@@ -90,7 +90,7 @@
     await server.start()
     assert server.engine is not None
     server.engine.verbose = verbose
-    settle_collector()
+    tune_garbage_collector()
     if stop_requested:
         server.stop()
     await server.stopped
--- a/eiderstep/server/register.py
+++ b/eiderstep/server/register.py
@@ -17,7 +17,7 @@
 
 from eiderstep import interface as io
 from eiderstep.config.schema import Register
-from eiderstep.server.wire import Trace
+from eiderstep.server.transport import Trace
 from eiderstep.sip.message import split_address
 
 SECOND = 1_000_000_000
@@ -31,7 +31,7 @@
 NoteHandler = Callable[[str, dict[str, Any]], None]
 
 
-class Row(msgspec.Struct):
+class ExchangeRow(msgspec.Struct):
     """One exchange in an event of the register; `age`: time since its start (s), None for long ago."""
 
     office: str
@@ -41,15 +41,15 @@
     zone: int = 0
 
 
-class Event(msgspec.Struct):
+class ListEvent(msgspec.Struct):
     """One event of the stream."""
 
     gen: int
     kind: str
-    entries: list[Row]
+    entries: list[ExchangeRow]
 
 
-def entry(row: Row, now: int) -> io.OfficeEntry | None:
+def office_entry(row: ExchangeRow, now: int) -> io.OfficeEntry | None:
     """Convert a row of the register to an OfficeEntry; None for a row that cannot be used."""
     state = STATES.get(row.state)
     try:
@@ -129,14 +129,14 @@
 
     def on_body(self, body: bytes) -> None:
         for event in self.stream.feed(body):
-            self.client.handle_event(msgspec.json.decode(event, type=Event))
+            self.client.handle_event(msgspec.json.decode(event, type=ListEvent))
 
     def on_message_complete(self) -> None:
         self.fail("the stream ended")
 
-    def fail(self, why: str) -> None:
+    def fail(self, reason: str) -> None:
         if not self.ended.done():
-            self.ended.set_result(why)
+            self.ended.set_result(reason)
         if self.transport is not None:
             self.transport.close()
 
@@ -158,7 +158,7 @@
         self.loop, self.settings, self.on_list, self.on_note, self.rng = loop, settings, on_list, on_note, rng
         self.trace = trace
         self.last_received = 0.0
-        self.gen = -1
+        self.generation = -1
         self.requested = asyncio.Event()
         self.task: asyncio.Task[None] | None = None
         self.list_received = False
@@ -180,7 +180,7 @@
         if self.task is not None:
             self.task.cancel()
 
-    def handle_event(self, event: Event) -> None:
+    def handle_event(self, event: ListEvent) -> None:
         """Process one event.  Raises ValueError for an unknown kind or a gap in the change numbers.
 
         After a gap the list held here differs from the register's, and the connection is opened anew.
@@ -188,11 +188,11 @@
         kind = KINDS.get(event.kind)
         if kind is None:
             raise ValueError(f"found kind {event.kind!r}; allowed: complete, changes")
-        if kind is io.ListKind.CHANGES and event.gen != self.gen + 1:
-            raise ValueError(f"change {event.gen} after {self.gen}; expected {self.gen + 1}")
-        self.gen, self.list_received = event.gen, True
+        if kind is io.ListKind.CHANGES and event.gen != self.generation + 1:
+            raise ValueError(f"change {event.gen} after {self.generation}; expected {self.generation + 1}")
+        self.generation, self.list_received = event.gen, True
         now = self.now()
-        entries = tuple(e for row in event.entries if (e := entry(row, now)) is not None)
+        entries = tuple(e for row in event.entries if (e := office_entry(row, now)) is not None)
         if len(entries) < len(event.entries):
             self.on_note("register sent unusable entries", {"rows": len(event.entries) - len(entries)})
         self.on_list(kind, entries)
--- a/eiderstep/server/tls.py
+++ b/eiderstep/server/tls.py
@@ -1,7 +1,7 @@
 """TLS 1.2 and 1.3 without I/O: encrypted bytes in, plain bytes out, on real and virtual event loops.
 
 Authentication is mutual.  OpenSSL checks the certificate chain and the key.  Names, validity and revocation
-are checked by `trust/proof.py`, for new and resumed sessions, and again while the connection is open.
+are checked by `trust/certificates.py`, for new and resumed sessions, and again while the connection is open.
 """
 
 from __future__ import annotations
@@ -12,18 +12,19 @@
 
 from eiderstep.config.schema import SipTls
 from eiderstep.trust.authority import check_key_permissions, read_certificate, read_crl
-from eiderstep.trust.proof import CertificateInfo, KeysError, RevocationList, sip_names
+from eiderstep.trust.certificates import CertificateInfo, KeysError, RevocationList, sip_names
 
 NO_CHECK_TIME = 0x200000  # X509_V_FLAG_NO_CHECK_TIME, which the ssl module does not export
 READ_SIZE = 65536
 MAX_HANDSHAKE_BYTES = 65536  # received before the handshake is done; a certificate chain has a few KB
 
 
-class Tls:
-    """One TLS connection.  `done`: the handshake is complete; `failure`: the reason of an error, or empty."""
+class TlsConnection:
+    """One TLS connection.  `failure`: the reason of an error, or empty."""
 
     __slots__ = (
-        "_in", "_object", "_out", "closed", "context", "done", "failure", "handshake_bytes", "server_side",
+        "_in", "_object", "_out", "closed", "context", "failure", "handshake_bytes", "handshake_done",
+        "server_side",
     )  # fmt: skip
 
     def __init__(
@@ -33,7 +34,7 @@
         self._in, self._out = ssl.MemoryBIO(), ssl.MemoryBIO()
         self._object = context.wrap_bio(self._in, self._out, server_side=server_side, session=session)
         self.server_side = server_side
-        self.done = self.closed = False
+        self.handshake_done = self.closed = False
         self.failure = ""
         self.handshake_bytes = 0
 
@@ -43,17 +44,17 @@
         return self._out.read()
 
     def feed(self, data: bytes) -> bytes:
-        """Process received bytes; returns the decrypted ones.  `wanted()` may then have bytes to send."""
+        """Process received bytes; returns the decrypted ones.  `pending_output()` may then have bytes."""
         if self.failure:
             return b""
         self._in.write(data)
-        if not self.done:
+        if not self.handshake_done:
             self.handshake_bytes += len(data)
             if self.handshake_bytes > MAX_HANDSHAKE_BYTES:
                 self.failure = f"handshake exceeds {MAX_HANDSHAKE_BYTES} bytes"
                 return b""
             self._handshake()
-        if not self.done:
+        if not self.handshake_done:
             return b""
         parts: list[bytes] = []
         try:
@@ -68,13 +69,13 @@
             self.failure = _error_text(problem)
         return parts[0] if len(parts) == 1 else b"".join(parts)
 
-    def wanted(self) -> bytes:
+    def pending_output(self) -> bytes:
         """The bytes to send after `feed`."""
         return self._out.read()
 
     def write(self, data: bytes) -> bytes:
         """Encrypt plain bytes; returns the bytes to send, empty before the handshake is done."""
-        if not self.done or self.failure:
+        if not self.handshake_done or self.failure:
             return b""
         self._object.write(data)
         return self._out.read()
@@ -108,7 +109,7 @@
     def _handshake(self) -> None:
         try:
             self._object.do_handshake()
-            self.done = True
+            self.handshake_done = True
         except ssl.SSLWantReadError:
             pass
         except ssl.SSLError as problem:
@@ -121,7 +122,7 @@
     return str(reason).lower().replace("_", " ")[:120]
 
 
-class Keys:
+class Credentials:
     """Our key and certificate, the CA and its revocation list.  Raises KeysError if a file cannot be used."""
 
     def __init__(self, tls: SipTls) -> None:
@@ -141,16 +142,16 @@
         server, client = self._context(ssl.PROTOCOL_TLS_SERVER), self._context(ssl.PROTOCOL_TLS_CLIENT)
         revoked = read_crl(Path(tls.crl), Path(tls.ca)) if tls.crl else RevocationList()
         own = read_certificate(Path(tls.cert))
-        self.server_context, self.client, self.revocation_list, self.own_certificate = (
+        self.server_context, self.client_context, self.revocation_list, self.own_certificate = (
             server, client, revoked, own,
         )  # fmt: skip
         self.file_stamps = file_stamps
         self.sessions.clear()  # sessions can be resumed only in the context that created them
 
-    def save_session(self, address: str, tls: Tls) -> None:
+    def save_session(self, address: str, tls: TlsConnection) -> None:
         """Save the session of a dialled link for resumption, unless the keys were reloaded since."""
         session = tls.session
-        if tls.done and session is not None and tls.context is self.client:
+        if tls.handshake_done and session is not None and tls.context is self.client_context:
             self.sessions[address] = session
 
     def files_changed(self) -> bool:
--- a/eiderstep/server/wire.py
+++ b/eiderstep/server/transport.py
@@ -10,7 +10,7 @@
 from eiderstep.sip.parser import BadMessage, Limits, Parser, parse_datagram
 
 if TYPE_CHECKING:
-    from eiderstep.server.tls import Tls
+    from eiderstep.server.tls import TlsConnection
 
 NO_FUTURE: Any = None  # `ready` of a plain connection, which is never awaited
 # Arguments: time (ns), label of the connection, peer address, "in" | "out" | "up" | "down", bytes.
@@ -26,11 +26,11 @@
 
     def now(self) -> int: ...
     def handshake_started(self, connection: StreamConnection) -> bool: ...
-    def authentication_failed(self, connection: StreamConnection, why: str) -> None: ...
+    def authentication_failed(self, connection: StreamConnection, reason: str) -> None: ...
     def handshake_received(self, connection: StreamConnection, data: bytes) -> None: ...
     def connection_ready(self, connection: StreamConnection) -> None: ...
     def connection_closed(self, connection: StreamConnection) -> None: ...
-    def came(self, flow: int, items: list[Message | BadMessage], reliable: bool) -> None: ...
+    def messages_received(self, flow: int, items: list[Message | BadMessage], reliable: bool) -> None: ...
 
 
 class StreamConnection(asyncio.Protocol):
@@ -40,7 +40,9 @@
     the decrypted bytes.
     """
 
-    def __init__(self, owner: ConnectionOwner, flow: int, dialled: str = "", tls: Tls | None = None) -> None:
+    def __init__(
+        self, owner: ConnectionOwner, flow: int, dialled: str = "", tls: TlsConnection | None = None
+    ) -> None:
         self.owner, self.flow, self.dialled, self.tls = owner, flow, dialled, tls
         self.parser = Parser(owner.limits)
         self.transport: asyncio.Transport | None = None
@@ -77,7 +79,7 @@
             return
         if self.tls is None:
             self._plain_received(data)
-        elif self.tls.done and not self.queued_chunks:
+        elif self.tls.handshake_done and not self.queued_chunks:
             self._plain_received(self._decrypt(self.tls, data))
         else:
             self.queued_chunks += 1
@@ -105,23 +107,23 @@
         elif items or not self.partial_since:
             self.partial_since = self.owner.now() / 1e9
         if items:
-            self.owner.came(self.flow, items, True)
+            self.owner.messages_received(self.flow, items, True)
 
-    def _decrypt(self, tls: Tls, data: bytes) -> bytes:
+    def _decrypt(self, tls: TlsConnection, data: bytes) -> bytes:
         """Pass received bytes through TLS; returns the decrypted ones, empty during the handshake."""
         assert self.transport is not None
-        was_done = tls.done
+        was_done = tls.handshake_done
         plain = tls.feed(data)
-        if pending := tls.wanted():
+        if pending := tls.pending_output():
             self.transport.write(pending)
-        if tls.done and not was_done:
+        if tls.handshake_done and not was_done:
             self._report_ready()
             if self.rejected:
                 return b""
             if not self.ready.done():
                 self.ready.set_result(None)
         if tls.failure:
-            if tls.done:
+            if tls.handshake_done:
                 self.abort()
             else:
                 self.owner.authentication_failed(self, tls.failure)
@@ -130,7 +132,7 @@
         return plain
 
     def connection_lost(self, exc: Exception | None) -> None:
-        if self.tls is None or (self.tls.done and not self.rejected):
+        if self.tls is None or (self.tls.handshake_done and not self.rejected):
             if self.owner.trace is not None:
                 self.owner.trace(self.owner.now(), self.label, self.peer, "down", b"")
         if self.tls is not None and not self.ready.done():
@@ -160,7 +162,7 @@
     def close(self) -> None:
         """Close after sending all buffered bytes; with TLS after close_notify."""
         if self.transport is not None:
-            if self.tls is not None and self.tls.done and not self.transport.is_closing():
+            if self.tls is not None and self.tls.handshake_done and not self.transport.is_closing():
                 self.transport.write(self.tls.close_notify())
             self.transport.close()
 
@@ -180,7 +182,7 @@
             self.owner.trace(self.owner.now(), f"udp {addr[0]}:{addr[1]}", f"{addr[0]}:{addr[1]}", "in", data)
         item = parse_datagram(data, self.owner.limits)
         if item is not None:
-            self.owner.came(self.flow_of(addr), [item], False)
+            self.owner.messages_received(self.flow_of(addr), [item], False)
 
     def send(self, addr: tuple[str, int], data: bytes) -> None:
         if self.transport is not None:
--- a/eiderstep/server/watch.py
+++ b/eiderstep/server/watch.py
@@ -10,19 +10,19 @@
 RECOVERY_TIME = SECOND // 10  # how long after a stall messages read may have been queued during it (ns)
 
 
-class StallWatch:
+class StallDetector:
     """Detects stalls by the gaps between heartbeats.  Times in ns."""
 
     def __init__(self, threshold: int = STALL_THRESHOLD, recovery_time: int = RECOVERY_TIME) -> None:
         self.threshold, self.recovery_time = threshold, recovery_time
         self.last_beat = self.stall_start = self.stall_end = 0
-        self.fresh = 0  # length of a stall that the last call of `waited` detected
+        self.new_stall = 0  # length of a stall that the last call of `read_delay` detected
 
-    def beat(self, now: int) -> None:
+    def heartbeat(self, now: int) -> None:
         """Record a heartbeat."""
         self.last_beat = now
 
-    def waited(self, now: int) -> int:
+    def read_delay(self, now: int) -> int:
         """How long messages that are read now may have been queued (ns): the time since the stall began.
 
         Returns 0 unless a stall has just ended.  After a stall of the process (a paused host, a garbage
@@ -30,16 +30,16 @@
         counted from the reading, they would be answered too late.  A call that arrived at the end of the
         stall is taken to be older than it is, and may be refused early.
         """
-        self.fresh = 0
+        self.new_stall = 0
         if self.last_beat and now - self.last_beat > self.threshold:
             if self.stall_end != now:
-                self.fresh = now - self.last_beat
+                self.new_stall = now - self.last_beat
             self.stall_start, self.stall_end = self.last_beat, now
             self.last_beat = now
         return now - self.stall_start if self.stall_end and now <= self.stall_end + self.recovery_time else 0
 
 
-def settle_collector() -> None:
+def tune_garbage_collector() -> None:
     """Exclude the objects created at start from garbage collection, and make full collections rare.
 
     A full collection with thousands of standing calls stops the loop for tenths of a second.  Reference
--- a/eiderstep/sip/dialog.py
+++ b/eiderstep/sip/dialog.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from eiderstep.sip.message import Message, in_angle, request
+from eiderstep.sip.message import Message, address_uri, request
 
 DialogId = tuple[str, str, str]  # Call-ID, local tag, remote tag
 
@@ -26,15 +26,15 @@
         self.flow, self.cseq, self.remote_cseq = flow, cseq, remote_cseq
 
     @classmethod
-    def of_server(cls, invite: Message, answer: Message, flow: int) -> Dialog:
+    def for_uas(cls, invite: Message, answer: Message, flow: int) -> Dialog:
         """The UAS side: the dialog of an INVITE received, created by our response (section 12.1.1)."""
-        target = in_angle(invite.get("contact")) or in_angle(invite.get("from"))
+        target = address_uri(invite.get("contact")) or address_uri(invite.get("from"))
         return cls(invite.call_id, answer.get("to"), invite.get("from"), target, flow, 0, invite.cseq)
 
     @classmethod
-    def of_client(cls, invite: Message, answer: Message, flow: int) -> Dialog:
+    def for_uac(cls, invite: Message, answer: Message, flow: int) -> Dialog:
         """The UAC side: the dialog of an INVITE sent and the 2xx received (section 12.1.2)."""
-        target = in_angle(answer.get("contact")) or invite.uri
+        target = address_uri(answer.get("contact")) or invite.uri
         return cls(invite.call_id, invite.get("from"), answer.get("to"), target, flow, invite.cseq)
 
     def request(self, method: str, via: str) -> Message:
@@ -50,7 +50,7 @@
             cseq=self.cseq,
         )
 
-    def accepts(self, message: Message) -> bool:
+    def accept_request(self, message: Message) -> bool:
         """Check and record a request's CSeq; except for an ACK it must rise within the dialog (12.2.2)."""
         if message.cseq <= self.remote_cseq and message.method != "ACK":
             return False
@@ -58,9 +58,9 @@
         return True
 
 
-def acknowledge(invite: Message, answer: Message, via: str) -> Message:
+def make_ack(invite: Message, answer: Message, via: str) -> Message:
     """The ACK of a 2xx (section 13.2.2.4): a separate request, to the Contact of the 2xx."""
-    target = in_angle(answer.get("contact")) or invite.uri
+    target = address_uri(answer.get("contact")) or invite.uri
     ack = request(
         "ACK", target, via=via, sender=invite.get("from"), to=answer.get("to"), call_id=invite.call_id,
         cseq=invite.cseq,
@@ -68,7 +68,7 @@
     return ack
 
 
-def cancel(invite: Message) -> Message:
+def make_cancel(invite: Message) -> Message:
     """The CANCEL of an INVITE (section 9.1), with its URI, Via, From, To, Call-ID and CSeq number."""
     return Message("CANCEL", invite.uri, 0, "", {
         "via": invite.headers["via"][:1], "max-forwards": ["70"], "from": [invite.get("from")],
--- a/eiderstep/sip/fields.py
+++ b/eiderstep/sip/fields.py
@@ -8,25 +8,25 @@
 
 from dataclasses import dataclass
 
-from eiderstep.sip.message import Message, get_param, in_angle
+from eiderstep.sip.message import Message, address_uri, get_param
 
 MS = 1_000_000
 
-CLASS, PATIENCE, PAUSE = "eiderstep-class", "eiderstep-patience", "eiderstep-pause"
-MARKS, ADVICE, WAITING_HEADER = "eiderstep-marks", "eiderstep-advice", "eiderstep-waiting"
-CIRCUITS = "eiderstep-circuits"
+CLASS_HEADER, PATIENCE_HEADER, PAUSE_HEADER = "eiderstep-class", "eiderstep-patience", "eiderstep-pause"
+MARKS_HEADER, ADVICE_HEADER, WAITING_HEADER = "eiderstep-marks", "eiderstep-advice", "eiderstep-waiting"
+CIRCUITS_HEADER = "eiderstep-circuits"
 MAX_CIRCUITS = 1024  # of one set-up
-OWN = "Eiderstep"  # protocol token in Reason for causes that Q.850 does not have
-
-NORMAL = 16
-BUSY = 17
-OUT_OF_ORDER = 27
-NO_CIRCUIT = 34
-NETWORK_OUT = 38
-TEMPORARY = 41
-CONGESTED = 42
-NOT_THIS_CIRCUIT = 44
-TURNED_BACK = 2  # this and the next are causes of the protocol `OWN`
+PRIVATE_PROTOCOL = "Eiderstep"  # protocol token in Reason for causes that Q.850 does not have
+
+NORMAL_CLEARING = 16
+USER_BUSY = 17
+DESTINATION_OUT_OF_ORDER = 27
+NO_CIRCUIT_AVAILABLE = 34
+NETWORK_OUT_OF_ORDER = 38
+TEMPORARY_FAILURE = 41
+EQUIPMENT_CONGESTION = 42
+REQUESTED_CIRCUIT_NOT_AVAILABLE = 44
+TANDEM_REFUSED = 2  # this and the next are causes of the protocol `PRIVATE_PROTOCOL`
 BEYOND_FULL = 18
 
 
@@ -45,30 +45,30 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Load:
+class OverloadReport:
     """Overload control report of a processor.
 
-    `reduce`: share of set-ups that each sender is asked to hold back (RFC 7339, in percent on the wire);
-    `rate`: the set-ups per second that it accepts (RFC 7415); `waiting`: set-ups in its queue.
+    `reduction`: share of set-ups that each sender is asked to hold back (RFC 7339, in percent on the wire);
+    `max_rate`: the set-ups per second that it accepts (RFC 7415); `queued_set_ups`: set-ups in its queue.
     """
 
-    reduce: float | None = None
-    rate: float | None = None
-    waiting: float | None = None
+    reduction: float | None = None
+    max_rate: float | None = None
+    queued_set_ups: float | None = None
 
 
-def add_load(message: Message, load: Load) -> None:
+def add_overload_report(message: Message, load: OverloadReport) -> None:
     """Add a report to a response: to the topmost Via, and the queue length in a private header."""
     top, *rest = message.headers["via"]
-    if load.reduce is not None:
-        message.headers["via"] = [f'{top};oc={round(load.reduce * 100)};oc-algo="loss"', *rest]
-    elif load.rate is not None:
-        message.headers["via"] = [f'{top};oc={load.rate:g};oc-algo="rate"', *rest]
-    if load.waiting is not None:
-        message.set(WAITING_HEADER, f"{load.waiting:g}")
+    if load.reduction is not None:
+        message.headers["via"] = [f'{top};oc={round(load.reduction * 100)};oc-algo="loss"', *rest]
+    elif load.max_rate is not None:
+        message.headers["via"] = [f'{top};oc={load.max_rate:g};oc-algo="rate"', *rest]
+    if load.queued_set_ups is not None:
+        message.set(WAITING_HEADER, f"{load.queued_set_ups:g}")
 
 
-def read_load(message: Message) -> Load:
+def read_overload_report(message: Message) -> OverloadReport:
     """The report on a response; absent or malformed values are None."""
     via = message.get("via")
     share = rate = None
@@ -78,7 +78,7 @@
             rate = value
         elif value is not None and value <= 100:
             share = value / 100
-    return Load(share, rate, parse_decimal(message.get(WAITING_HEADER)))
+    return OverloadReport(share, rate, parse_decimal(message.get(WAITING_HEADER)))
 
 
 def parse_decimal(text: str) -> float | None:
@@ -98,12 +98,12 @@
     return f"<sip:trunk;tgrp={group};trunk-context={context}@{host}>"
 
 
-def read_trunk(message: Message) -> tuple[str, str]:
+def read_trunk_group(message: Message) -> tuple[str, str]:
     """Trunk group and context of the Contact; ("", "") if the call did not come over a trunk group."""
     contact = message.get("contact")
     if ";tgrp=" not in contact:
         return "", ""
-    user = in_angle(contact).partition(":")[2].partition("@")[0]
+    user = address_uri(contact).partition(":")[2].partition("@")[0]
     return get_param(user, "tgrp"), get_param(user, "trunk-context")
 
 
@@ -126,24 +126,24 @@
     """Add a wait (ns): Retry-After in seconds, rounded up, and a private header in milliseconds."""
     if wait > 0:
         message.set("retry-after", str(-(-wait // 1_000_000_000)))
-        message.set(PAUSE, str(wait // MS))
+        message.set(PAUSE_HEADER, str(wait // MS))
 
 
 def read_wait(message: Message) -> int:
     """The wait asked for (ns), 0 if there is none.  The private header takes precedence over Retry-After."""
-    milliseconds = message.get(PAUSE)
+    milliseconds = message.get(PAUSE_HEADER)
     if milliseconds.isascii() and milliseconds.isdigit():
         return int(milliseconds[:9]) * MS
     seconds = message.get("retry-after").partition(";")[0].partition("(")[0].strip()
     return int(seconds[:6]) * 1000 * MS if seconds.isascii() and seconds.isdigit() else 0
 
 
-def read_patience(message: Message, default: int) -> int:
+def read_give_up_time(message: Message, default: int) -> int:
     """How long the caller waits for an answer (ns), at most `default`.
 
     Taken from the private header (ms), else from Expires (s), else `default`.
     """
-    milliseconds = message.get(PATIENCE)
+    milliseconds = message.get(PATIENCE_HEADER)
     if milliseconds.isascii() and milliseconds.isdigit():
         return min(int(milliseconds[:9]) * MS, default)
     seconds = message.get("expires")
--- a/eiderstep/sip/message.py
+++ b/eiderstep/sip/message.py
@@ -48,7 +48,7 @@
 class Message:
     """A request (`method` and `uri` set) or a response (`status` above 0)."""
 
-    __slots__ = ("body", "headers", "method", "phrase", "status", "uri")
+    __slots__ = ("body", "headers", "method", "reason_phrase", "status", "uri")
 
     def __init__(
         self,
@@ -59,7 +59,7 @@
         headers: dict[str, list[str]],
         body: bytes = b"",
     ) -> None:
-        self.method, self.uri, self.status, self.phrase = method, uri, status, phrase
+        self.method, self.uri, self.status, self.reason_phrase = method, uri, status, phrase
         self.headers, self.body = headers, body
 
     def __repr__(self) -> str:
@@ -67,7 +67,9 @@
 
     def start_line(self) -> str:
         return (
-            f"{VERSION} {self.status} {self.phrase}" if self.status else f"{self.method} {self.uri} {VERSION}"
+            f"{VERSION} {self.status} {self.reason_phrase}"
+            if self.status
+            else f"{self.method} {self.uri} {VERSION}"
         )
 
     def get(self, name: str, default: str = "") -> str:
@@ -125,7 +127,7 @@
     return value.rpartition(">")[2] if ">" in value else value
 
 
-def in_angle(value: str) -> str:
+def address_uri(value: str) -> str:
     """The URI of a name-addr or addr-spec."""
     start = value.rfind("<")
     if start < 0:
@@ -155,11 +157,11 @@
 
 
 def request(
-    method: str, uri: str, *, via: str, sender: str, to: str, call_id: str, cseq: int, hops: int = 70
+    method: str, uri: str, *, via: str, sender: str, to: str, call_id: str, cseq: int, max_forwards: int = 70
 ) -> Message:
     """A request with the six headers that are mandatory in every request (section 8.1.1)."""
     headers = {
-        "via": [via], "max-forwards": [str(hops)], "from": [sender], "to": [to], "call-id": [call_id],
+        "via": [via], "max-forwards": [str(max_forwards)], "from": [sender], "to": [to], "call-id": [call_id],
         "cseq": [f"{cseq} {method}"],
     }  # fmt: skip
     return Message(method, uri, 0, "", headers)
--- a/eiderstep/sip/parser.py
+++ b/eiderstep/sip/parser.py
@@ -179,7 +179,7 @@
     return len(text) <= 16 and text.isascii() and text.isdigit() and int(text) <= maximum
 
 
-def check(message: Message) -> None:
+def check_headers(message: Message) -> None:
     """Check the headers of a message (sections 8.1.1 and 20).  Raises BadMessage, never a fatal one."""
     headers = message.headers
     for name in REQUIRED_HEADERS:
@@ -221,7 +221,7 @@
             raise BadMessage(400, f"{name} {value[:20]!r} is not a number up to {maximum}", message=message)
 
 
-def _length(message: Message, limits: Limits) -> int | None:
+def _content_length(message: Message, limits: Limits) -> int | None:
     """The body size by Content-Length, None without that header.  Raises a fatal BadMessage."""
     values = message.headers.get("content-length")
     if values is None:
@@ -247,12 +247,12 @@
     def __init__(self, limits: Limits | None = None) -> None:
         self.limits = limits or Limits()
         self.buffer = b""
-        self.dead = False
+        self.failed = False
         self._parsed_head: tuple[Message, BadMessage | None, int] | None = None
 
     def feed(self, data: bytes) -> list[Message | BadMessage]:
         """Parse received bytes; returns the complete messages and the malformed ones in order."""
-        if self.dead:
+        if self.failed:
             return []
         self.buffer = self.buffer + data if self.buffer else data
         items: list[Message | BadMessage] = []
@@ -260,7 +260,7 @@
             while (item := self._next_item()) is not None:
                 items.append(item)
         except BadMessage as problem:
-            self.dead, self.buffer = True, b""
+            self.failed, self.buffer = True, b""
             items.append(problem)
         return items
 
@@ -293,7 +293,7 @@
         if end > self.limits.line and buffer.find(b"\r\n", 0, self.limits.line + 2) < 0:
             raise BadMessage(414, f"start line over the limit of {self.limits.line} bytes", True)
         message, error = parse_head(buffer[:end].decode("utf-8", "surrogateescape"), self.limits)
-        length = _length(message, self.limits)
+        length = _content_length(message, self.limits)
         if length is None:
             raise error or BadMessage(400, "Content-Length is missing on a stream", True, message)
         if error is not None and message.method == "?":
@@ -309,7 +309,7 @@
     try:
         if error is not None:
             raise BadMessage(error.status, error.text, False, message)
-        check(message)
+        check_headers(message)
     except BadMessage as problem:
         return problem
     return message
@@ -329,7 +329,7 @@
         if not separator or len(head) > limits.head:
             raise BadMessage(400, "datagram without a complete head, or with one over the limit")
         message, error = parse_head(head.decode("utf-8", "surrogateescape"), limits)
-        length = _length(message, limits)
+        length = _content_length(message, limits)
         if length is not None and length > len(body):
             raise BadMessage(
                 400,
