--- a/eiderstep/sip/transaction.py
+++ b/eiderstep/sip/transaction.py
@@ -1,7 +1,7 @@
 """SIP transactions (RFC 3261 section 17 with the Accepted state of RFC 6026), without I/O or a clock.
 
-`Transactions` is driven with messages and the current time.  It yields bytes to send (`out`), events for its
-user (`events`) and the time of its next timer (`next_due`).  Over a reliable transport nothing is
+`TransactionLayer` is driven with messages and the current time.  It yields bytes to send (`out`), events for
+its user (`events`) and the time of its next timer (`next_due`).  Over a reliable transport nothing is
 retransmitted and timers D, I, J and K, which absorb retransmissions, are zero as the RFC requires.
 """
 
@@ -18,7 +18,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Times:
+class BaseTimes:
     """The base times of section 17.1.1.1 (ns).  Shorter ones are for tests and fast links."""
 
     t1: int = 500 * MS
@@ -26,12 +26,12 @@
     t4: int = 5000 * MS
 
     @property
-    def give_up(self) -> int:
+    def transaction_timeout(self) -> int:
         """Transaction timeout, 64 x T1: timers B, F, H, J, L and M."""
         return 64 * self.t1
 
 
-class State(Enum):
+class TransactionState(Enum):
     """The states of the four state machines of a transaction."""
 
     __hash__ = object.__hash__  # faster table lookups: Enum hashes its name in Python code
@@ -45,7 +45,7 @@
     TERMINATED = auto()
 
 
-class Kind(Enum):
+class TransactionKind(Enum):
     """The four state machines: client or server side, INVITE or another method."""
 
     __hash__ = object.__hash__  # faster table lookups: Enum hashes its name in Python code
@@ -89,9 +89,11 @@
     REPORT_TRANSPORT_FAILURE = auto()
 
 
-S, N, D = State, Input, Action  # short names for the table below
-TRANSITIONS: dict[Kind, dict[tuple[State, Input], tuple[State, tuple[Action, ...]]]] = {
-    Kind.CLIENT_INVITE: {
+S, N, D = TransactionState, Input, Action  # short names for the table below
+TRANSITIONS: dict[
+    TransactionKind, dict[tuple[TransactionState, Input], tuple[TransactionState, tuple[Action, ...]]]
+] = {
+    TransactionKind.CLIENT_INVITE: {
         (S.CALLING, N.PROVISIONAL): (S.PROCEEDING, (D.STOP_RETRANSMITS, D.REPORT_RESPONSE)),
         (S.CALLING, N.SUCCESS): (S.ACCEPTED, (D.STOP_RETRANSMITS, D.REPORT_RESPONSE, D.LINGER_LONG)),
         (S.CALLING, N.FAILURE): (S.COMPLETED, (D.STOP_RETRANSMITS, D.SEND_ACK, D.REPORT_RESPONSE, D.LINGER)),
@@ -107,7 +109,7 @@
         (S.COMPLETED, N.FAILURE): (S.COMPLETED, (D.SEND_ACK,)),
         (S.COMPLETED, N.LINGER_DUE): (S.TERMINATED, ()),
     },
-    Kind.CLIENT: {
+    TransactionKind.CLIENT: {
         (S.TRYING, N.PROVISIONAL): (S.PROCEEDING, (D.REPORT_RESPONSE,)),
         (S.TRYING, N.SUCCESS): (S.COMPLETED, (D.STOP_RETRANSMITS, D.REPORT_RESPONSE, D.LINGER)),
         (S.TRYING, N.FAILURE): (S.COMPLETED, (D.STOP_RETRANSMITS, D.REPORT_RESPONSE, D.LINGER)),
@@ -122,7 +124,7 @@
         (S.PROCEEDING, N.TRANSPORT_FAILED): (S.TERMINATED, (D.REPORT_TRANSPORT_FAILURE,)),
         (S.COMPLETED, N.LINGER_DUE): (S.TERMINATED, ()),
     },
-    Kind.SERVER_INVITE: {
+    TransactionKind.SERVER_INVITE: {
         (S.PROCEEDING, N.PROVISIONAL): (S.PROCEEDING, ()),
         (S.PROCEEDING, N.RETRANSMISSION): (S.PROCEEDING, (D.RETRANSMIT,)),
         (S.PROCEEDING, N.SUCCESS): (S.ACCEPTED, (D.START_RETRANSMITS, D.START_TIMEOUT)),
@@ -142,7 +144,7 @@
         (S.CONFIRMED, N.ACK): (S.CONFIRMED, ()),
         (S.CONFIRMED, N.LINGER_DUE): (S.TERMINATED, ()),
     },
-    Kind.SERVER: {
+    TransactionKind.SERVER: {
         (S.TRYING, N.PROVISIONAL): (S.PROCEEDING, ()),
         (S.TRYING, N.SUCCESS): (S.COMPLETED, (D.LINGER,)),
         (S.TRYING, N.FAILURE): (S.COMPLETED, (D.LINGER,)),
@@ -158,10 +160,10 @@
     },
 }
 INITIAL_STATE = {
-    Kind.CLIENT_INVITE: S.CALLING, Kind.SERVER_INVITE: S.PROCEEDING,
-    Kind.CLIENT: S.TRYING, Kind.SERVER: S.TRYING,
+    TransactionKind.CLIENT_INVITE: S.CALLING, TransactionKind.SERVER_INVITE: S.PROCEEDING,
+    TransactionKind.CLIENT: S.TRYING, TransactionKind.SERVER: S.TRYING,
 }  # fmt: skip
-CLIENT_KINDS = (Kind.CLIENT_INVITE, Kind.CLIENT)
+CLIENT_KINDS = (TransactionKind.CLIENT_INVITE, TransactionKind.CLIENT)
 # The flow is part of the key.  Without it any other connection could send a response, a CANCEL or an ACK for
 # the transaction, and could block a genuine request by sending one with its branch in advance.  Over TCP this
 # costs nothing, as the loss of a connection ends its transactions.  Over UDP a flow is the peer's address.
@@ -186,7 +188,9 @@
         "state",
     )
 
-    def __init__(self, kind: Kind, key: TransactionKey, flow: int, reliable: bool, request: Message) -> None:
+    def __init__(
+        self, kind: TransactionKind, key: TransactionKey, flow: int, reliable: bool, request: Message
+    ) -> None:
         self.kind, self.key, self.flow, self.reliable, self.request = kind, key, flow, reliable, request
         self.state = INITIAL_STATE[kind]
         self.last_sent = b""
@@ -203,7 +207,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
+class ResponseReceived:
     """A response to a request of a client transaction."""
 
     tx: Transaction
@@ -211,11 +215,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class NoAnswer:
-    """No final response, or no ACK for a 2xx sent, within 64 x T1; `broken`: the transport failed."""
+class TransactionFailed:
+    """No final response, or no ACK for a 2xx sent, within 64 x T1, or the transport failed."""
 
     tx: Transaction
-    broken: bool
+    transport_failed: bool
 
 
 @dataclass(frozen=True, slots=True)
@@ -226,21 +230,21 @@
     message: Message
 
 
-TransactionEvent = NewRequest | Answer | NoAnswer | StrayMessage
+TransactionEvent = NewRequest | ResponseReceived | TransactionFailed | StrayMessage
 
 
-class Transactions:
+class TransactionLayer:
     """The transaction layer of one SIP element.  A flow is the number of a connection or a UDP peer."""
 
-    def __init__(self, times: Times | None = None) -> None:
-        self.times = times or Times()
+    def __init__(self, times: BaseTimes | None = None) -> None:
+        self.times = times or BaseTimes()
         self.out: list[tuple[int, bytes]] = []
         self.events: list[TransactionEvent] = []
         self.clients: dict[TransactionKey, Transaction] = {}
         self.servers: dict[TransactionKey, Transaction] = {}
         self.by_flow: dict[int, dict[TransactionKey, Transaction]] = {}
         self._awaiting_ack: dict[tuple[str, str, int], Transaction] = {}  # by Call-ID, From tag, CSeq
-        self._heap: list[tuple[int, int, Transaction, Input]] = []
+        self._timer_heap: list[tuple[int, int, Transaction, Input]] = []
         self._timer_count = 0
 
     # -- calls of the user ---------------------------------------------------------------------------------
@@ -249,12 +253,14 @@
         """Send a request and start its client transaction."""
         invite = message.method == "INVITE"
         key = (flow, message.branch, "c", message.method)
-        tx = Transaction(Kind.CLIENT_INVITE if invite else Kind.CLIENT, key, flow, reliable, message)
+        tx = Transaction(
+            TransactionKind.CLIENT_INVITE if invite else TransactionKind.CLIENT, key, flow, reliable, message
+        )
         self.clients[key] = tx
         self.by_flow.setdefault(flow, {})[key] = tx
         tx.last_sent = message.encode()
         self.out.append((flow, tx.last_sent))
-        self._start_timer(tx, now + self.times.give_up, Input.TIMEOUT_DUE)
+        self._start_timer(tx, now + self.times.transaction_timeout, Input.TIMEOUT_DUE)
         if not reliable:
             self._schedule_retransmit(tx, now)
         return tx
@@ -275,7 +281,7 @@
         self._apply(now, tx, response_class, None)
         return True
 
-    def forget(self, tx: Transaction) -> None:
+    def discard(self, tx: Transaction) -> None:
         """End a transaction whose outcome is no longer needed; it reports no more events."""
         self._terminate(tx)
 
@@ -309,7 +315,11 @@
             self._apply(now, existing, Input.RETRANSMISSION, message)
             return
         tx = Transaction(
-            Kind.SERVER_INVITE if method == "INVITE" else Kind.SERVER, key, flow, reliable, message
+            TransactionKind.SERVER_INVITE if method == "INVITE" else TransactionKind.SERVER,
+            key,
+            flow,
+            reliable,
+            message,
         )
         self.servers[key] = tx
         self.by_flow.setdefault(flow, {})[key] = tx
@@ -328,41 +338,41 @@
         tx = self._awaiting_ack.get((ack.call_id, ack.from_tag, ack.cseq))
         return tx if tx is not None and tx.flow == flow else None
 
-    def broken(self, now: int, flow: int) -> None:
+    def connection_lost(self, now: int, flow: int) -> None:
         """A connection is lost: all transactions on it fail (section 18.4)."""
         for tx in list(self.by_flow.pop(flow, {}).values()):
             self._apply(now, tx, Input.TRANSPORT_FAILED, None)
             self._terminate(tx)
 
-    def due(self, now: int) -> None:
+    def run_due_timers(self, now: int) -> None:
         """Run the timers that are due at `now`."""
-        while self._heap and self._heap[0][0] <= now:
-            at, _, tx, timer = heapq.heappop(self._heap)
+        while self._timer_heap and self._timer_heap[0][0] <= now:
+            at, _, tx, timer = heapq.heappop(self._timer_heap)
             if timer is Input.RETRANSMIT_DUE:
                 if tx.retransmit_at != at:
                     continue
                 self._apply(now, tx, timer, None)
-                if tx.retransmit_at and tx.state is not State.TERMINATED:
+                if tx.retransmit_at and tx.state is not TransactionState.TERMINATED:
                     self._schedule_retransmit(tx, now)
             elif timer is not Input.LINGER_DUE or tx.linger_until == at:
                 self._apply(now, tx, timer, None)
 
     def next_due(self) -> int | None:
-        """When to call `due` next, None if no timer runs.  Drops timers of ended transactions."""
-        while self._heap and self._heap[0][2].state is State.TERMINATED:
-            heapq.heappop(self._heap)
-        return self._heap[0][0] if self._heap else None
+        """When to call `run_due_timers` next, None if no timer runs.  Drops timers of ended transactions."""
+        while self._timer_heap and self._timer_heap[0][2].state is TransactionState.TERMINATED:
+            heapq.heappop(self._timer_heap)
+        return self._timer_heap[0][0] if self._timer_heap else None
 
     # -- state machines ------------------------------------------------------------------------------------
 
     def _start_timer(self, tx: Transaction, at: int, timer: Input) -> None:
         self._timer_count += 1
-        heapq.heappush(self._heap, (at, self._timer_count, tx, timer))
+        heapq.heappush(self._timer_heap, (at, self._timer_count, tx, timer))
 
     def _schedule_retransmit(self, tx: Transaction, now: int) -> None:
         """Timers A, E and G: the interval doubles, up to T2 except for timer A."""
-        cap = self.times.give_up if tx.kind is Kind.CLIENT_INVITE else self.times.t2
-        at_cap = tx.kind is Kind.CLIENT and tx.state is State.PROCEEDING
+        cap = self.times.transaction_timeout if tx.kind is TransactionKind.CLIENT_INVITE else self.times.t2
+        at_cap = tx.kind is TransactionKind.CLIENT and tx.state is TransactionState.PROCEEDING
         tx.retransmit_interval = cap if at_cap else min(2 * tx.retransmit_interval or self.times.t1, cap)
         tx.retransmit_at = now + tx.retransmit_interval
         self._start_timer(tx, tx.retransmit_at, Input.RETRANSMIT_DUE)
@@ -375,12 +385,12 @@
         tx.state, actions = transition
         for action in actions:
             ACTION_HANDLERS[action](self, now, tx, message)
-        if tx.state is State.TERMINATED:
+        if tx.state is TransactionState.TERMINATED:
             self._terminate(tx)
 
     def _report_response(self, now: int, tx: Transaction, message: Message | None) -> None:
         assert message is not None
-        self.events.append(Answer(tx, message))
+        self.events.append(ResponseReceived(tx, message))
 
     def _retransmit(self, now: int, tx: Transaction, message: Message | None) -> None:
         if tx.last_sent:
@@ -398,43 +408,43 @@
         tx.retransmit_at = 0
 
     def _start_retransmits(self, now: int, tx: Transaction, message: Message | None) -> None:
-        if tx.state is State.ACCEPTED:
+        if tx.state is TransactionState.ACCEPTED:
             request = tx.request
             self._awaiting_ack[request.call_id, request.from_tag, request.cseq] = tx
         if not tx.reliable:
             self._schedule_retransmit(tx, now)
 
     def _start_timeout(self, now: int, tx: Transaction, message: Message | None) -> None:
-        self._start_timer(tx, now + self.times.give_up, Input.TIMEOUT_DUE)
+        self._start_timer(tx, now + self.times.transaction_timeout, Input.TIMEOUT_DUE)
 
     def _linger(self, now: int, tx: Transaction, message: Message | None) -> None:
-        wait = self.times.t4 if tx.kind is not Kind.SERVER else self.times.give_up
-        if tx.kind is Kind.CLIENT_INVITE:
-            wait = self.times.give_up  # timer D is at least 32 s, 64 x T1 by default
+        wait = self.times.t4 if tx.kind is not TransactionKind.SERVER else self.times.transaction_timeout
+        if tx.kind is TransactionKind.CLIENT_INVITE:
+            wait = self.times.transaction_timeout  # timer D is at least 32 s, 64 x T1 by default
         self._linger_for(now, tx, 0 if tx.reliable else wait)
 
     def _linger_long(self, now: int, tx: Transaction, message: Message | None) -> None:
-        self._linger_for(now, tx, 0 if tx.reliable else self.times.give_up)
+        self._linger_for(now, tx, 0 if tx.reliable else self.times.transaction_timeout)
 
     def _linger_for(self, now: int, tx: Transaction, wait: int) -> None:
         if wait == 0:
-            tx.state = State.TERMINATED
+            tx.state = TransactionState.TERMINATED
             return
         tx.linger_until = now + wait
         self._start_timer(tx, tx.linger_until, Input.LINGER_DUE)
 
     def _report_timeout(self, now: int, tx: Transaction, message: Message | None) -> None:
-        self.events.append(NoAnswer(tx, False))
+        self.events.append(TransactionFailed(tx, False))
 
     def _report_transport_failure(self, now: int, tx: Transaction, message: Message | None) -> None:
-        self.events.append(NoAnswer(tx, True))
+        self.events.append(TransactionFailed(tx, True))
 
     def _terminate(self, tx: Transaction) -> None:
-        tx.state = State.TERMINATED
+        tx.state = TransactionState.TERMINATED
         table = self.clients if tx.kind in CLIENT_KINDS else self.servers
         if table.get(tx.key) is tx:
             del table[tx.key]
-        if tx.kind is Kind.SERVER_INVITE:
+        if tx.kind is TransactionKind.SERVER_INVITE:
             self._awaiting_ack.pop((tx.request.call_id, tx.request.from_tag, tx.request.cseq), None)
         on_flow = self.by_flow.get(tx.flow)
         if on_flow is not None:
@@ -447,15 +457,15 @@
         )  # frees memory: its timers stay up to 64 x T1 longer
 
 
-ACTION_HANDLERS: dict[Action, Callable[[Transactions, int, Transaction, Message | None], None]] = {
-    Action.REPORT_RESPONSE: Transactions._report_response,
-    Action.RETRANSMIT: Transactions._retransmit,
-    Action.SEND_ACK: Transactions._send_ack,
-    Action.STOP_RETRANSMITS: Transactions._stop_retransmits,
-    Action.START_RETRANSMITS: Transactions._start_retransmits,
-    Action.START_TIMEOUT: Transactions._start_timeout,
-    Action.LINGER: Transactions._linger,
-    Action.LINGER_LONG: Transactions._linger_long,
-    Action.REPORT_TIMEOUT: Transactions._report_timeout,
-    Action.REPORT_TRANSPORT_FAILURE: Transactions._report_transport_failure,
+ACTION_HANDLERS: dict[Action, Callable[[TransactionLayer, int, Transaction, Message | None], None]] = {
+    Action.REPORT_RESPONSE: TransactionLayer._report_response,
+    Action.RETRANSMIT: TransactionLayer._retransmit,
+    Action.SEND_ACK: TransactionLayer._send_ack,
+    Action.STOP_RETRANSMITS: TransactionLayer._stop_retransmits,
+    Action.START_RETRANSMITS: TransactionLayer._start_retransmits,
+    Action.START_TIMEOUT: TransactionLayer._start_timeout,
+    Action.LINGER: TransactionLayer._linger,
+    Action.LINGER_LONG: TransactionLayer._linger_long,
+    Action.REPORT_TIMEOUT: TransactionLayer._report_timeout,
+    Action.REPORT_TRANSPORT_FAILURE: TransactionLayer._report_transport_failure,
 }
--- a/eiderstep/sizing/estimate.py
+++ b/eiderstep/sizing/estimate.py
@@ -32,7 +32,7 @@
 
 SECOND = 1_000_000_000
 HOUR = 3600 * SECOND  # ns
-DAY_HOURS = 24
+HOURS_PER_DAY = 24
 CONFIDENCE = 0.90  # level of the intervals
 MAX_LOAD = 1e5  # erlangs; upper limit of an interval
 BURST_WINDOW_HOLDS = 8  # mean holding times; arrivals are counted over spans of this length to detect bursts
@@ -76,7 +76,7 @@
     """
 
     verdict: Verdict
-    why: str
+    reason: str
     expected: list[tuple[float, float, float]]
     measured: list[float | None]
     hours_more: float | None = None
@@ -84,7 +84,7 @@
     other_streams: list[Stream] = field(default_factory=list)  # load of other exchange pairs
 
 
-def loads(
+def estimate_loads(
     buckets: Sequence[Bucket], classes: int, redials_counted_apart: bool = True,
     redial_probability: float = 0.0,
 ) -> list[Load]:  # fmt: skip
@@ -156,7 +156,7 @@
 
 
 def _hour_of_day(bucket: Bucket) -> int:
-    return bucket.start // HOUR % DAY_HOURS
+    return bucket.start // HOUR % HOURS_PER_DAY
 
 
 def _load_bound_without_tries(seconds: float, hold: float) -> float:
@@ -277,7 +277,7 @@
     reason.
     """
     class_names = list(names) or [str(cls) for cls in range(len(widths))]
-    class_loads = loads(buckets, len(widths), redials_counted_apart, redial_probability)
+    class_loads = estimate_loads(buckets, len(widths), redials_counted_apart, redial_probability)
     circuits = buckets[-1].circuits if buckets else 0
     measured: list[float | None] = []
     uncensored = [bucket for bucket in buckets if not bucket.censored]
--- a/eiderstep/sizing/meter.py
+++ b/eiderstep/sizing/meter.py
@@ -85,7 +85,7 @@
         self.refused_at: OrderedDict[tuple[str, int], int] = OrderedDict()
         self.bucket_start = now
 
-    def tried(self, now: int, group: int, cls: int, number: str, marked_redial: bool) -> bool:
+    def record_try(self, now: int, group: int, cls: int, number: str, marked_redial: bool) -> bool:
         """Count a call that arrived for a group; return whether it is a redial.
 
         A redial is marked as such by its caller, or recognised by its number, which was refused recently.
@@ -103,7 +103,7 @@
                 class_counts.first += 1
         return redial
 
-    def blocked(self, group: int, cls: int, redial: bool, overflowed: bool) -> None:
+    def record_blocked(self, group: int, cls: int, redial: bool, overflowed: bool) -> None:
         """Count a call that found too few circuits free; `overflowed`: it was sent to an alternate."""
         state = self.groups.get(group)
         if state is not None:
@@ -114,33 +114,33 @@
                 class_counts.blocked_first += 1
             class_counts.overflowed += overflowed
 
-    def refused(self, group: int, cls: int) -> None:
+    def record_refused(self, group: int, cls: int) -> None:
         """Count a call that was turned away for a cause other than circuits."""
         state = self.groups.get(group)
         if state is not None:
             state.classes[cls].refused += 1
 
-    def gave_up(self, now: int, cls: int, number: str) -> None:
+    def record_failed_call(self, now: int, cls: int, number: str) -> None:
         """Remember the number of a call that was not set up, to recognise a redial of it."""
         if number:
             self.refused_at[number, cls] = now
             while len(self.refused_at) > MAX_REFUSED_NUMBERS:
                 self.refused_at.popitem(last=False)
 
-    def for_other(self, group: int, cls: int) -> None:
+    def record_other_pair_call(self, group: int, cls: int) -> None:
         """Count a call of another exchange pair that uses this group."""
         state = self.groups.get(group)
         if state is not None:
             state.classes[cls].for_others += 1
 
-    def stands(self, now: int, group: int, cls: int) -> None:
+    def record_call_standing(self, now: int, group: int, cls: int) -> None:
         """Count a call to that exchange that now stands, over whichever route."""
         state = self.groups.get(group)
         if state is not None:
             state.advance(now)
             state.classes[cls].standing_calls += 1
 
-    def ended(self, now: int, group: int, cls: int, hold: int) -> None:
+    def record_call_ended(self, now: int, group: int, cls: int, hold: int) -> None:
         """Record the end of a call that was counted as standing, with its holding time (ns)."""
         state = self.groups.get(group)
         if state is not None:
@@ -152,28 +152,28 @@
             class_counts.hold_squared += (hold / SECOND) ** 2
             state.hold_histograms[cls].record_value(min(max(hold // MS, 1), MAX_HOLD_MS))
 
-    def level(self, now: int, group: int, busy: int, in_service: int) -> None:
+    def set_circuit_counts(self, now: int, group: int, busy: int, in_service: int) -> None:
         """Set the numbers of circuits busy and in service from `now` on."""
         state = self.groups.get(group)
         if state is not None:
             state.advance(now)
             state.busy, state.in_service = busy, in_service
 
-    def resized(self, now: int, group: int, circuits: int) -> None:
+    def set_group_size(self, now: int, group: int, circuits: int) -> None:
         """Set the number of circuits of the group from `now` on."""
         state = self.groups.get(group)
         if state is not None:
             state.advance(now)
             state.circuits = circuits
 
-    def link(self, now: int, group: int, up: bool) -> None:
+    def set_link_up(self, now: int, group: int, up: bool) -> None:
         """Set whether there is a link to the far exchange from `now` on."""
         state = self.groups.get(group)
         if state is not None:
             state.advance(now)
             state.linked = up
 
-    def roll(self, now: int, epoch: int) -> Iterable[tuple[int, Bucket]]:
+    def close_buckets(self, now: int, epoch: int) -> Iterable[tuple[int, Bucket]]:
         """Close and return the open buckets; `epoch`: the wall clock at `now` (ns since 1970)."""
         length = now - self.bucket_start
         if length <= 0:
@@ -202,7 +202,7 @@
         """Histogram of holding times in ms, to two significant digits."""
         return self.groups[group].hold_histograms[cls]
 
-    def encoded(self) -> dict[tuple[int, int], bytes]:
+    def encode_holding_times(self) -> dict[tuple[int, int], bytes]:
         """The non-empty holding-time histograms by group and class, encoded as they are stored."""
         return {
             (number, cls): histogram.encode()
@@ -211,7 +211,7 @@
             if histogram.get_total_count()
         }
 
-    def resume(self, encoded: Mapping[tuple[int, int], bytes]) -> None:
+    def restore_holding_times(self, encoded: Mapping[tuple[int, int], bytes]) -> None:
         """Add holding times stored before a restart; histograms that cannot be decoded are skipped."""
         for (number, cls), histogram_bytes in encoded.items():
             state = self.groups.get(number)
--- a/eiderstep/sizing/network.py
+++ b/eiderstep/sizing/network.py
@@ -200,9 +200,9 @@
     point: FixedPoint
 
 
-def size(
+def size_groups(
     network: Network, targets: Sequence[float], module: int = 1, costs: Mapping[Pair, float] | None = None,
-    max_rounds: int = 2_000, looks: int = 1_000_000,
+    max_rounds: int = 2_000, max_removal_trials: int = 1_000_000,
 ) -> Plan:  # fmt: skip
     """Size all groups together, so that no class of any pair loses more than its target.
 
@@ -251,7 +251,7 @@
         key=lambda group: (-prices.get(group, 1.0), group),
     )
     batch_size = max(len(removal_order) // 2, 1)
-    while batch_size and looks > 0:
+    while batch_size and max_removal_trials > 0:
         removed = False
         for batch_start in range(0, len(removal_order), batch_size):
             candidates = [
@@ -259,8 +259,8 @@
                 for ends in removal_order[batch_start : batch_start + batch_size]
                 if circuits[ends] > module
             ]
-            while candidates and looks > 0:
-                looks -= 1
+            while candidates and max_removal_trials > 0:
+                max_removal_trials -= 1
                 smaller = circuits | {ends: circuits[ends] - module for ends in candidates}
                 trial = solve(smaller, point)
                 if pairs_over_target(trial):
--- a/eiderstep/sizing/report.py
+++ b/eiderstep/sizing/report.py
@@ -14,7 +14,7 @@
 from matplotlib.figure import Figure  # noqa: E402
 
 from eiderstep.sizing import summary  # noqa: E402
-from eiderstep.sizing.summary import GroupSummary, Wanted  # noqa: E402
+from eiderstep.sizing.summary import GroupSummary, SizingGoals  # noqa: E402
 
 TEMPLATE = """<!DOCTYPE html>
 <html lang="en"><head><meta charset="utf-8"><title>Trunk groups of exchange {{ number }}</title>
@@ -54,7 +54,7 @@
 """
 
 
-def page(number: int, groups: Mapping[int, GroupSummary], goals: Wanted) -> str:
+def render_page(number: int, groups: Mapping[int, GroupSummary], goals: SizingGoals) -> str:
     """Render the page on all groups of the exchange `number`."""
     template = jinja2.Environment(autoescape=True, undefined=jinja2.StrictUndefined).from_string(TEMPLATE)
     return template.render(
@@ -65,7 +65,7 @@
     )  # fmt: skip
 
 
-def plot_png(group: GroupSummary, goals: Wanted) -> str:
+def plot_png(group: GroupSummary, goals: SizingGoals) -> str:
     """Plot blocking by size, with its interval and the measured value, and first tries by hour.
 
     Returns the PNG in base64.
--- a/eiderstep/sizing/store.py
+++ b/eiderstep/sizing/store.py
@@ -46,7 +46,7 @@
         place and raises DatabaseError.  Otherwise it is renamed, and its new path is kept as an attribute.
         """
         self.path = path
-        self.put_aside: Path | None = None
+        self.damaged_path: Path | None = None
         if read_only:
             self.db = sqlite3.connect(f"{path.absolute().as_uri()}?mode=ro", uri=True, isolation_level=None)
             (check_result,) = self.db.execute("PRAGMA quick_check").fetchone()
@@ -59,7 +59,7 @@
         except sqlite3.DatabaseError as problem:
             if isinstance(problem, sqlite3.OperationalError) or not path.exists():
                 raise  # disk full, no permission or no folder: a new file would fail as well
-            self.put_aside = self._move_aside()
+            self.damaged_path = self._move_aside()
             self.db = self._open()
 
     def _open(self) -> sqlite3.Connection:
@@ -87,7 +87,7 @@
             self.path.with_name(self.path.name + suffix).unlink(missing_ok=True)
         return damaged_path
 
-    def describe(self, **meta: str) -> None:
+    def write_meta(self, **meta: str) -> None:
         """Store values by name that describe the file, such as the number of the exchange."""
         self.db.executemany("INSERT OR REPLACE INTO meta VALUES (?, ?)", list(meta.items()))
 
@@ -95,7 +95,7 @@
         """The stored values that describe the file, by name."""
         return dict(self.db.execute("SELECT name, value FROM meta").fetchall())
 
-    def add(self, closed: Iterable[tuple[int, Bucket]]) -> None:
+    def add_buckets(self, closed: Iterable[tuple[int, Bucket]]) -> None:
         """Add the buckets, given with their groups, in one transaction."""
         with self._transaction():
             for group, bucket in closed:
@@ -123,14 +123,14 @@
         count_rows = [(cursor.lastrowid, cls, *astuple(counts)) for cls, counts in enumerate(bucket.classes)]
         self.db.executemany(f"INSERT INTO counts VALUES ({placeholders})", count_rows)
 
-    def keep_holds(self, encoded: Mapping[tuple[int, int], bytes]) -> None:
+    def write_holding_times(self, encoded: Mapping[tuple[int, int], bytes]) -> None:
         """Store holding times by group and class as encoded HDR histograms, replacing earlier ones."""
         self.db.executemany(
             "INSERT OR REPLACE INTO holds VALUES (?, ?, ?)",
             [(*key, histogram) for key, histogram in encoded.items()],
         )
 
-    def holds(self) -> dict[tuple[int, int], bytes]:
+    def read_holding_times(self) -> dict[tuple[int, int], bytes]:
         """The stored holding times by group and class, as encoded HDR histograms."""
         return {
             (group, cls): histogram
@@ -167,7 +167,7 @@
             for row in bucket_rows
         ]
 
-    def thin(self, now: int) -> int:
+    def downsample(self, now: int) -> int:
         """Join old buckets to longer ones; return how many fewer there are.  `now`: ns since 1970.
 
         Only neighbours with the same number of circuits and the same censored state are joined, so that an
--- a/eiderstep/sizing/summary.py
+++ b/eiderstep/sizing/summary.py
@@ -8,14 +8,14 @@
 
 from eiderstep.sizing.bucket import Bucket
 from eiderstep.sizing.erlang import erlang_b
-from eiderstep.sizing.estimate import DAY_HOURS, HOUR, Judgement, blocking, group_peakedness, judge
+from eiderstep.sizing.estimate import HOUR, HOURS_PER_DAY, Judgement, blocking, group_peakedness, judge
 from eiderstep.sizing.recommend import Advice, advise
 
 SECOND = 1_000_000_000
 
 
 @dataclass(frozen=True)
-class Wanted:
+class SizingGoals:
     """Settings of the sizing: class names, widths and blocking targets; module and price of circuits."""
 
     classes: Sequence[str]
@@ -43,11 +43,13 @@
     all_buckets: Sequence[Bucket]  # of all hours of the day
 
 
-def summarize(number: int, buckets: Sequence[Bucket], goals: Wanted, busy_hour: bool = False) -> GroupSummary:
+def summarize(
+    number: int, buckets: Sequence[Bucket], goals: SizingGoals, busy_hour: bool = False
+) -> GroupSummary:
     """Judge and size one group; `busy_hour`: only for the hour of the day with the most first tries."""
-    peak_hour = busiest(buckets)
+    peak_hour = busiest_hour(buckets)
     judged_buckets = (
-        [bucket for bucket in buckets if bucket.start // HOUR % DAY_HOURS == peak_hour]
+        [bucket for bucket in buckets if bucket.start // HOUR % HOURS_PER_DAY == peak_hour]
         if busy_hour and peak_hour is not None
         else buckets
     )
@@ -77,12 +79,12 @@
     )  # fmt: skip
 
 
-def busiest(buckets: Sequence[Bucket]) -> int | None:
+def busiest_hour(buckets: Sequence[Bucket]) -> int | None:
     """The hour of the day with the highest rate of first tries in uncensored time; None without any."""
     sums_by_hour: dict[int, list[float]] = {}
     for bucket in buckets:
         if not bucket.censored:
-            sums = sums_by_hour.setdefault(bucket.start // HOUR % DAY_HOURS, [0.0, 0.0])
+            sums = sums_by_hour.setdefault(bucket.start // HOUR % HOURS_PER_DAY, [0.0, 0.0])
             sums[0] += sum(counts.first for counts in bucket.classes)
             sums[1] += bucket.length
     rates = {hour: tries / span for hour, (tries, span) in sums_by_hour.items() if span}
@@ -94,14 +96,14 @@
     sums_by_hour: dict[int, list[float]] = {}
     for bucket in buckets:
         if not bucket.censored:
-            sums = sums_by_hour.setdefault(bucket.start // HOUR % DAY_HOURS, [0.0, 0.0])
+            sums = sums_by_hour.setdefault(bucket.start // HOUR % HOURS_PER_DAY, [0.0, 0.0])
             sums[0] += sum(counts.first for counts in bucket.classes)
             sums[1] += bucket.length / HOUR
     return {hour: tries / hours for hour, (tries, hours) in sorted(sums_by_hour.items()) if hours}
 
 
 def blocking_curves(
-    group: GroupSummary, goals: Wanted, sizes: Sequence[int]
+    group: GroupSummary, goals: SizingGoals, sizes: Sequence[int]
 ) -> list[tuple[int, list[float], list[float], list[float]]]:
     """Rows of a size and each class's blocking at the low end, the estimate and the high end of its load."""
     class_loads = group.judgement.loads
@@ -129,7 +131,7 @@
     return sorted({*range(low, high + 1, step), group.circuits})
 
 
-def explain(group: GroupSummary, goals: Wanted) -> list[str]:
+def explain(group: GroupSummary, goals: SizingGoals) -> list[str]:
     """Explain how the verdict follows from the counts, one step per line."""
     judgement, uncensored = group.judgement, [bucket for bucket in group.buckets if not bucket.censored]
     lines = [
@@ -175,7 +177,7 @@
     if single_circuit_class and group.circuits and math.isfinite(judgement.loads[0].load):
         lines.append(f"Erlang B({group.circuits}, {judgement.loads[0].load:.2f}) = "
                      f"{erlang_b(group.circuits, judgement.loads[0].load):.4f}")  # fmt: skip
-    lines.append(f"verdict: {judgement.verdict.value}: {judgement.why}")
+    lines.append(f"verdict: {judgement.verdict.value}: {judgement.reason}")
     if judgement.hours_more is not None:
         lines.append(f"about {judgement.hours_more:.1f} more hours of measurement should decide it")
     if group.advice is not None:
--- a/eiderstep/standin/element.py
+++ b/eiderstep/standin/element.py
@@ -9,7 +9,14 @@
 
 from eiderstep.sip.message import Message, split_address
 from eiderstep.sip.parser import BadMessage, Parser, parse_datagram
-from eiderstep.sip.transaction import Answer, NewRequest, NoAnswer, Times, Transaction, Transactions
+from eiderstep.sip.transaction import (
+    BaseTimes,
+    NewRequest,
+    ResponseReceived,
+    Transaction,
+    TransactionFailed,
+    TransactionLayer,
+)
 
 SECOND = 1_000_000_000  # ns
 
@@ -89,20 +96,20 @@
     """
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, name: str, rng: Random, times: Times | None = None
+        self, loop: asyncio.AbstractEventLoop, name: str, rng: Random, times: BaseTimes | None = None
     ) -> None:
         self.loop, self.name, self.rng = loop, name, rng
-        self.transactions = Transactions(times)
+        self.transactions = TransactionLayer(times)
         self.connection_by_flow: dict[int, Connection] = {}
         self.udp_socket: UdpSocket | None = None
         self.udp_address_by_flow: dict[int, Any] = {}
-        self.links: dict[str, int] = {}
+        self.flow_by_address: dict[str, int] = {}
         self.server: Any = None
         self.address = ""
-        self.host = ""  # source address of outgoing connections; empty: any
+        self.local_host = ""  # source address of outgoing connections; empty: any
         self.flow_count = self.id_count = 0
         self.timer: asyncio.TimerHandle | None = None
-        self.dead = False
+        self.killed = False
         self.malformed: list[str] = []
 
     def now(self) -> int:
@@ -142,31 +149,31 @@
         self.flow_count += 1
         flow = self.flow_count
         host, port = split_address(address)
-        options: dict[str, Any] = {"local_addr": (self.host, 0)} if self.host else {}
+        options: dict[str, Any] = {"local_addr": (self.local_host, 0)} if self.local_host else {}
         await self.loop.create_connection(lambda: Connection(self, flow), host, port, **options)
-        self.links[address] = flow
+        self.flow_by_address[address] = flow
         return flow
 
     def handle_items(self, flow: int, items: list[Message | BadMessage]) -> None:
-        if self.dead:
+        if self.killed:
             return
         for item in items:
             if isinstance(item, BadMessage):
                 self.malformed.append(item.text)
                 continue
             self.transactions.receive(self.now(), flow, item, flow not in self.udp_address_by_flow)
-        self.pump()
+        self.process_events()
 
     def handle_connection_lost(self, flow: int) -> None:
         self.connection_by_flow.pop(flow, None)
-        for address in [a for a, f in self.links.items() if f == flow]:
-            del self.links[address]
-        if not self.dead:
-            self.transactions.broken(self.now(), flow)
+        for address in [a for a, f in self.flow_by_address.items() if f == flow]:
+            del self.flow_by_address[address]
+        if not self.killed:
+            self.transactions.connection_lost(self.now(), flow)
             self.on_connection_lost(flow)
-            self.pump()
+            self.process_events()
 
-    def pump(self) -> None:
+    def process_events(self) -> None:
         """Pass pending events to the handlers, write pending messages, and set the timer."""
         layer = self.transactions
         while layer.events:
@@ -174,10 +181,10 @@
             for event in events:
                 if isinstance(event, NewRequest):
                     self.on_request(event.tx, event.message)
-                elif isinstance(event, Answer):
+                elif isinstance(event, ResponseReceived):
                     self.on_response(event.tx, event.message)
-                elif isinstance(event, NoAnswer):
-                    self.on_transaction_failed(event.tx, event.broken)
+                elif isinstance(event, TransactionFailed):
+                    self.on_transaction_failed(event.tx, event.transport_failed)
         messages, layer.out[:] = layer.out[:], []
         for flow, data in messages:
             connection = self.connection_by_flow.get(flow)
@@ -191,23 +198,23 @@
         self.timer = None if due is None else self.loop.call_at(due / SECOND + 1e-6, self._run_due_timers)
 
     def _run_due_timers(self) -> None:
-        if not self.dead:
-            self.transactions.due(self.now())
-            self.pump()
+        if not self.killed:
+            self.transactions.run_due_timers(self.now())
+            self.process_events()
 
     def call_later(self, seconds: float, action: Callable[[], object]) -> None:
         """Run `action` after a delay, unless the element has been killed by then."""
 
         def run() -> None:
-            if not self.dead:
+            if not self.killed:
                 action()
-                self.pump()
+                self.process_events()
 
         self.loop.call_later(seconds, run)
 
-    def die(self) -> None:
+    def kill(self) -> None:
         """Behave as a killed process: reset all connections and answer nothing from now on."""
-        self.dead = True
+        self.killed = True
         if self.server is not None:
             self.server.close()
         for connection in list(self.connection_by_flow.values()):
@@ -222,8 +229,8 @@
     def on_response(self, tx: Transaction, message: Message) -> None:
         raise NotImplementedError
 
-    def on_transaction_failed(self, tx: Transaction, broken: bool) -> None:
-        """A request got no final response, or a 2xx no ACK.  `broken`: the connection was lost."""
+    def on_transaction_failed(self, tx: Transaction, transport_failed: bool) -> None:
+        """A request got no final response, or a 2xx no ACK.  `transport_failed`: the connection was lost."""
 
     def on_connection_lost(self, flow: int) -> None:
         """The connection of `flow` was lost."""
--- a/eiderstep/standin/eureka.py
+++ b/eiderstep/standin/eureka.py
@@ -21,7 +21,7 @@
 
 
 @dataclass
-class Record:
+class InstanceRecord:
     """One registered instance and its lease."""
 
     app: str
@@ -32,42 +32,42 @@
     status: str = "UP"
     status_override: str = ""
     vip: str = ""
-    dirty: int = 0  # ms of the instance's clock
-    updated: int = 0  # ms of the registry's clock
-    registered: int = 0  # ms of the registry's clock
-    renewed: int = 0  # ms of the registry's clock
-    renew: int = 30  # seconds
-    duration: int = 90  # seconds
+    dirty_timestamp: int = 0  # ms of the instance's clock
+    updated_at: int = 0  # ms of the registry's clock
+    registered_at: int = 0  # ms of the registry's clock
+    renewed_at: int = 0  # ms of the registry's clock
+    renewal_interval: int = 30  # seconds
+    lease_duration: int = 90  # seconds
     action: str = "ADDED"
 
     @property
-    def shown(self) -> str:
+    def effective_status(self) -> str:
         """The status that responses contain: the operators' override if there is one."""
         return self.status_override or self.status
 
 
-def instance_json(record: Record) -> dict[str, Any]:
+def instance_json(record: InstanceRecord) -> dict[str, Any]:
     """Return an instance as Eureka's JSON codec has it: some numbers as strings, `$` and `@` from its XML."""
     return {
         "instanceId": record.id, "hostName": record.host, "app": record.app, "ipAddr": record.host,
-        "status": record.shown, "overriddenStatus": record.status_override or "UNKNOWN",
+        "status": record.effective_status, "overriddenStatus": record.status_override or "UNKNOWN",
         "port": {"$": record.port, "@enabled": "true"}, "securePort": {"$": 443, "@enabled": "false"},
         "countryId": 1,
         "dataCenterInfo": {
             "@class": "com.netflix.appinfo.InstanceInfo$DefaultDataCenterInfo", "name": "MyOwn",
         },
         "leaseInfo": {
-            "renewalIntervalInSecs": record.renew, "durationInSecs": record.duration,
-            "registrationTimestamp": record.registered, "lastRenewalTimestamp": record.renewed,
-            "evictionTimestamp": 0, "serviceUpTimestamp": record.registered,
+            "renewalIntervalInSecs": record.renewal_interval, "durationInSecs": record.lease_duration,
+            "registrationTimestamp": record.registered_at, "lastRenewalTimestamp": record.renewed_at,
+            "evictionTimestamp": 0, "serviceUpTimestamp": record.registered_at,
         },
         "metadata": record.metadata or {"@class": "java.util.Collections$EmptyMap"},
         "homePageUrl": f"http://{record.host}:{record.port}/",
         "statusPageUrl": f"http://{record.host}:{record.port}/info",
         "healthCheckUrl": f"http://{record.host}:{record.port}/health",
         "vipAddress": record.vip or record.app.lower(), "secureVipAddress": record.vip or record.app.lower(),
-        "isCoordinatingDiscoveryServer": "false", "lastUpdatedTimestamp": str(record.updated),
-        "lastDirtyTimestamp": str(record.dirty), "actionType": record.action,
+        "isCoordinatingDiscoveryServer": "false", "lastUpdatedTimestamp": str(record.updated_at),
+        "lastDirtyTimestamp": str(record.dirty_timestamp), "actionType": record.action,
     }  # fmt: skip
 
 
@@ -81,8 +81,8 @@
     return f"<{name}{attributes}>{inner}</{name}>"
 
 
-def render(
-    records: list[Record], form: str, version: int, hashcode: str, root: str = "applications"
+def render_response(
+    records: list[InstanceRecord], form: str, version: int, hashcode: str, root: str = "applications"
 ) -> bytes:
     """Return a response body.  `form`: "json" or "xml"; `root`: applications, application or instance."""
     if root == "instance":
@@ -113,7 +113,7 @@
     return f"<applications>{head_xml}{''.join(parts)}</applications>".encode()
 
 
-class Table:
+class LeaseTable:
     """The leases of one peer, and the cache that its responses are made from.
 
     `clock_ms` returns the registry's clock; `lag`, `replication` and `retention` are seconds.
@@ -123,27 +123,27 @@
         self, loop: asyncio.AbstractEventLoop, clock_ms: Callable[[], int], lag: float = 0.0,
         replication: float = 0.05, retention: float = 180.0,
     ) -> None:  # fmt: skip
-        self.loop, self.epoch = loop, clock_ms
+        self.loop, self.clock_ms = loop, clock_ms
         self.lag, self.replication_delay, self.delta_retention = lag, replication, retention
-        self.leases: dict[tuple[str, str], Record] = {}
-        self.published: dict[tuple[str, str], Record] = {}
-        self.recent: deque[tuple[float, Record]] = deque()
+        self.leases: dict[tuple[str, str], InstanceRecord] = {}
+        self.published: dict[tuple[str, str], InstanceRecord] = {}
+        self.recent_changes: deque[tuple[float, InstanceRecord]] = deque()
         self.version = 1
         self.revision = 0  # incremented with every change of what responses contain
-        self.peers: list[Table] = []
+        self.peers: list[LeaseTable] = []
         self.hides_removals = False  # injected fault: removed instances stay in the responses
         self.eviction_count = 0
 
     # -- changes by clients and by eviction ----------------------------------------------------------------
 
-    def register(self, record: Record, replicated: bool = False) -> None:
+    def register(self, record: InstanceRecord, replicated: bool = False) -> None:
         """POST: create or replace a lease, unless the one held has a later dirty timestamp."""
         key = (record.app, record.id)
         held = self.leases.get(key)
-        if held is not None and held.dirty > record.dirty:
+        if held is not None and held.dirty_timestamp > record.dirty_timestamp:
             return
         lease = copy(record)
-        lease.registered = lease.renewed = lease.updated = self.epoch()
+        lease.registered_at = lease.renewed_at = lease.updated_at = self.clock_ms()
         lease.status_override = held.status_override if held is not None else ""
         lease.action = "ADDED"
         self.leases[key] = lease
@@ -155,10 +155,10 @@
         held = self.leases.get((app, name))
         if held is None:
             return False
-        held.renewed = self.epoch()
+        held.renewed_at = self.clock_ms()
         shown = self.published.get((app, name))
         if shown is not None:
-            shown.renewed = held.renewed
+            shown.renewed_at = held.renewed_at
             self.revision += 1
         self._replicate(replicated, lambda peer: peer.renew(app, name, True))
         return True
@@ -168,7 +168,7 @@
         held = self.leases.get((app, name))
         if held is None:
             return False
-        held.status_override, held.updated, held.action = status, self.epoch(), "MODIFIED"
+        held.status_override, held.updated_at, held.action = status, self.clock_ms(), "MODIFIED"
         self._schedule_publish(held)
         self._replicate(replicated, lambda peer: peer.set_status_override(app, name, status, True))
         return True
@@ -178,15 +178,17 @@
         held = self.leases.pop((app, name), None)
         if held is None:
             return False
-        held.updated, held.action = self.epoch(), "DELETED"
+        held.updated_at, held.action = self.clock_ms(), "DELETED"
         self._schedule_publish(held)
         self._replicate(replicated, lambda peer: peer.cancel(app, name, True))
         return True
 
     def evict_expired(self) -> int:
         """End the expired leases and return how many; none if more have expired than the threshold allows."""
-        now = self.epoch()
-        expired = [key for key, lease in self.leases.items() if now - lease.renewed > 1000 * lease.duration]
+        now = self.clock_ms()
+        expired = [
+            key for key, lease in self.leases.items() if now - lease.renewed_at > 1000 * lease.lease_duration
+        ]
         if len(expired) > (1 - RENEWAL_THRESHOLD) * len(self.leases) + 1:
             return 0
         for key in expired:
@@ -198,24 +200,24 @@
         """Start again with an empty table."""
         self.leases.clear()
         self.published.clear()
-        self.recent.clear()
+        self.recent_changes.clear()
         self.version, self.revision = 1, self.revision + 1
 
     # -- replication and the response cache ----------------------------------------------------------------
 
-    def _replicate(self, replicated: bool, change: Callable[[Table], object]) -> None:
+    def _replicate(self, replicated: bool, change: Callable[[LeaseTable], object]) -> None:
         """Apply a change to the other peers, unless it came from one of them."""
         for peer in [] if replicated else self.peers:
             self.loop.call_later(self.replication_delay, change, peer)
 
-    def _schedule_publish(self, record: Record) -> None:
+    def _schedule_publish(self, record: InstanceRecord) -> None:
         snapshot = copy(record)
         if self.lag:
             self.loop.call_later(self.lag, self._publish, snapshot)
         else:
             self._publish(snapshot)
 
-    def _publish(self, record: Record) -> None:
+    def _publish(self, record: InstanceRecord) -> None:
         key = (record.app, record.id)
         if record.action == "DELETED":
             if self.hides_removals:
@@ -223,21 +225,21 @@
             self.published.pop(key, None)
         else:
             self.published[key] = record
-        self.recent.append((self.loop.time(), record))
+        self.recent_changes.append((self.loop.time(), record))
         self.version += 1
         self.revision += 1
 
-    def delta(self) -> list[Record]:
+    def delta(self) -> list[InstanceRecord]:
         """Return the delta: the latest change of each instance that changed within the retention time."""
-        while self.recent and self.recent[0][0] < self.loop.time() - self.delta_retention:
-            self.recent.popleft()
-        latest = {(record.app, record.id): record for _, record in self.recent}
+        while self.recent_changes and self.recent_changes[0][0] < self.loop.time() - self.delta_retention:
+            self.recent_changes.popleft()
+        latest = {(record.app, record.id): record for _, record in self.recent_changes}
         return list(latest.values())
 
 
-def hash_of(records: list[Record]) -> str:
+def apps_hashcode(records: list[InstanceRecord]) -> str:
     """Return `apps__hashcode`: the number of instances by status."""
     counts: dict[str, int] = {}
     for record in records:
-        counts[record.shown] = counts.get(record.shown, 0) + 1
+        counts[record.effective_status] = counts.get(record.effective_status, 0) + 1
     return "".join(f"{status}_{counts[status]}_" for status in sorted(counts))
--- a/eiderstep/standin/eureka_wire.py
+++ b/eiderstep/standin/eureka_server.py
@@ -14,9 +14,9 @@
 import httptools
 import msgspec
 
-from eiderstep.standin.eureka import Record, Table, hash_of, render
+from eiderstep.standin.eureka import InstanceRecord, LeaseTable, apps_hashcode, render_response
 
-LIES = {
+REGISTRY_FAULTS = {
     "lists_gone": "removed instances stay in the responses",
     "drops_living": "the affected instances are left out of every response",
     "goes_back": "every other response has the list and version of when the fault began",
@@ -38,7 +38,7 @@
 
 
 class _Connection(asyncio.Protocol):
-    def __init__(self, server: Eureka) -> None:
+    def __init__(self, server: EurekaServer) -> None:
         self.server = server
         self.transport: Any = None
         self.drip_timer: asyncio.TimerHandle | None = None
@@ -80,7 +80,7 @@
     ) -> None:
         server = self.server
         head = [f"HTTP/1.1 {status} {'OK' if status < 300 else 'No'}", f"Content-Length: {len(body)}"]
-        head.append(f"Date: {formatdate(server.table.epoch() / 1000, usegmt=True)}")
+        head.append(f"Date: {formatdate(server.table.clock_ms() / 1000, usegmt=True)}")
         if body:
             head.append(f"Content-Type: {content_type}")
         head += [f"{name.replace('_', '-')}: {value}" for name, value in extra_headers.items()]
@@ -106,19 +106,19 @@
             self.server.connections.remove(self)
 
 
-class Eureka:
+class EurekaServer:
     """One registry peer on one listening socket.
 
     `fault` is the injected fault or empty; `affected_ids` are the ids of the instances that it concerns.
     """
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, table: Table, path: str = "/eureka", etags: bool = True
+        self, loop: asyncio.AbstractEventLoop, table: LeaseTable, path: str = "/eureka", etags: bool = True
     ) -> None:
         self.loop, self.table, self.path, self.etags = loop, table, path, etags
         self.fault = ""
         self.affected_ids: frozenset[str] = frozenset()
-        self.frozen_view: tuple[list[Record], int] | None = None
+        self.frozen_view: tuple[list[InstanceRecord], int] | None = None
         self.connections: list[_Connection] = []
         self.requests: list[tuple[float, str, str]] = []
         self.sent_bytes = 0
@@ -128,14 +128,14 @@
         self.address = ""
         self.closed = False
 
-    async def listen(self, context: ssl.SSLContext | None = None, sweep: float = 0.0) -> str:
+    async def listen(self, context: ssl.SSLContext | None = None, eviction_interval: float = 0.0) -> str:
         """Listen and return the address.  Expired leases are evicted at the interval (s), 0 for never."""
         options: dict[str, Any] = {"ssl": context} if context is not None else {}
         self.server = await self.loop.create_server(lambda: _Connection(self), "127.0.0.1", 0, **options)
         bound = self.server.sockets[0].getsockname()
         self.address = f"{bound[0]}:{bound[1]}"
-        if sweep:
-            self._evict_periodically(sweep)
+        if eviction_interval:
+            self._evict_periodically(eviction_interval)
         return self.address
 
     def _evict_periodically(self, interval: float) -> None:
@@ -143,10 +143,10 @@
             self.table.evict_expired()
             self.loop.call_later(interval, self._evict_periodically, interval)
 
-    def tell_lies(self, fault: str, affected_ids: frozenset[str] = frozenset()) -> None:
+    def set_fault(self, fault: str, affected_ids: frozenset[str] = frozenset()) -> None:
         """Begin a fault, or end the present one if `fault` is empty.  Raises ValueError if it is unknown."""
-        if fault and fault not in LIES:
-            raise ValueError(f"lie {fault!r}; allowed: {', '.join(LIES)}")
+        if fault and fault not in REGISTRY_FAULTS:
+            raise ValueError(f"lie {fault!r}; allowed: {', '.join(REGISTRY_FAULTS)}")
         self.fault, self.affected_ids = fault, affected_ids
         self.table.hides_removals = fault == "lists_gone"
         self.frozen_view = ([copy(record) for record in self.table.published.values()], self.table.version)
@@ -219,21 +219,22 @@
         self.table.register(changed)
         return True
 
-    def _decode_record(self, body: bytes, app: str) -> Record:
+    def _decode_record(self, body: bytes, app: str) -> InstanceRecord:
         instance = msgspec.json.decode(body, type=dict[str, Any])["instance"]
         lease = instance.get("leaseInfo", {})
         if str(instance["app"]).upper() != app.upper():
             raise ValueError("app of the instance differs from the app in the path")
-        return Record(
+        return InstanceRecord(
             app.upper(), str(instance["instanceId"]), str(instance["ipAddr"]), int(instance["port"]["$"]),
             {str(k): str(v) for k, v in instance.get("metadata", {}).items()}, str(instance["status"]),
-            vip=str(instance.get("vipAddress", "")), dirty=int(instance["lastDirtyTimestamp"]),
-            renew=int(lease.get("renewalIntervalInSecs", 30)), duration=int(lease.get("durationInSecs", 90)),
+            vip=str(instance.get("vipAddress", "")), dirty_timestamp=int(instance["lastDirtyTimestamp"]),
+            renewal_interval=int(lease.get("renewalIntervalInSecs", 30)),
+            lease_duration=int(lease.get("durationInSecs", 90)),
         )  # fmt: skip
 
     # -- lists and deltas ----------------------------------------------------------------------------------
 
-    def _current_view(self) -> tuple[list[Record], list[Record], int, str]:
+    def _current_view(self) -> tuple[list[InstanceRecord], list[InstanceRecord], int, str]:
         """Return the list, the delta, the version and the hash to respond with, as changed by the fault."""
         table = self.table
         listed, delta, version = list(table.published.values()), table.delta(), table.version
@@ -258,7 +259,7 @@
                     if record.id in self.affected_ids:
                         records[i] = copy(record)
                         records[i].metadata = {"exchange": "sixty-one", "district": "", "started": "now"}
-        return listed, delta, version, "WRONG_1_" if self.fault == "wrong_hash" else hash_of(listed)
+        return listed, delta, version, "WRONG_1_" if self.fault == "wrong_hash" else apps_hashcode(listed)
 
     def _handle_get(self, connection: _Connection, parts: list[str], headers: dict[str, str]) -> None:
         form = "xml" if "xml" in headers.get("accept", "") else "json"
@@ -273,7 +274,7 @@
             records, root = [r for r in listed if r.id == parts[-1]], "instance"
         elif parts[0] in ("vips", "svips") and len(parts) == 2:
             records = [r for r in listed if (r.vip or r.app.lower()) == parts[1]]
-            hashcode = hash_of(records)
+            hashcode = apps_hashcode(records)
         elif parts != ["apps"]:
             connection.respond(404)
             return
@@ -285,7 +286,7 @@
         )
 
     def send_list(
-        self, connection: _Connection, path: str, records: list[Record],
+        self, connection: _Connection, path: str, records: list[InstanceRecord],
         shape: tuple[str, bool, int, str, str], headers: dict[str, str],
     ) -> None:  # fmt: skip
         """Respond with a list; bodies are cached, so that equal requests are rendered once.
@@ -300,7 +301,7 @@
         key = (tag, shape) if not self.fault else None
         body = self.body_cache.get(key) if key is not None else None
         if body is None:
-            body = render(records, form, version, hashcode, root)
+            body = render_response(records, form, version, hashcode, root)
             if compress:
                 body = gzip.compress(body, 6, mtime=0)
             if key is not None:
--- a/eiderstep/standin/exchange.py
+++ b/eiderstep/standin/exchange.py
@@ -15,38 +15,38 @@
 from random import Random
 
 from eiderstep.sip import fields
-from eiderstep.sip.dialog import Dialog, acknowledge, cancel
+from eiderstep.sip.dialog import Dialog, make_ack, make_cancel
 from eiderstep.sip.message import Message, request, response, uri_parts
-from eiderstep.sip.transaction import Kind, State, Transaction
+from eiderstep.sip.transaction import Transaction, TransactionKind, TransactionState
 from eiderstep.standin.element import Element
-from eiderstep.standin.processor import Making, Processor, WorkItem
+from eiderstep.standin.processor import Processor, ProcessorConfig, WorkItem
 
 SPLIT_ANSWER_DELAY = 0.4  # seconds between the two halves of an answer
 
 
 @dataclass(frozen=True)
-class Plant:
+class ExchangeConfig:
     """The configuration of a simulated exchange.  Times in seconds."""
 
     number: int
-    circuits: dict[int, int]  # size of the trunk group by neighbour
-    numbers: dict[str, int]  # dial plan: exchange by number prefix
+    group_sizes: dict[int, int]  # size of the trunk group by neighbour
+    dial_plan: dict[str, int]  # dial plan: exchange by number prefix
     context: str = "standin"
     capacity: float = 60.0  # set-ups a second when warm
-    refuse_past: float = 2.0  # set-ups that would wait longer are refused
-    names_wait: bool = False  # refusals contain Retry-After
-    report: str = "rate"  # load reports: "rate" (with the queue length), "loss" or "none"
-    refresh: float = 0.3  # interval at which load reports are renewed
+    max_wait: float = 2.0  # set-ups that would wait longer are refused
+    sends_pause: bool = False  # refusals contain Retry-After
+    report_kind: str = "rate"  # load reports: "rate" (with the queue length), "loss" or "none"
+    report_interval: float = 0.3  # interval at which load reports are renewed
     cold_share: float = 0.3
     cold_time: float = 0.0
     warm_up: str = "linear"
     answers_first: bool = False  # answers and releases go before set-ups that wait
-    releases_wait: bool = False  # a release takes effect when its work is done, not when the BYE arrives
+    queues_releases: bool = False  # a release takes effect when its work is done, not when the BYE arrives
     drops_cancelled: bool = False  # a set-up cancelled while it waits costs no work
-    fall_multiple: float = 0.0  # crashes while cold above this multiple of its capacity; 0: never
-    fall_window: float = 2.0  # set-ups are counted over this time
+    crash_multiple: float = 0.0  # crashes while cold above this multiple of its capacity; 0: never
+    crash_window: float = 2.0  # set-ups are counted over this time
     release_work: float = 0.15  # of a set-up's work
-    busy_lines: float = 0.0  # share of calls that find the subscriber busy
+    busy_share: float = 0.0  # share of calls that find the subscriber busy
 
 
 @dataclass
@@ -54,11 +54,13 @@
     """The faults injected at the moment."""
 
     mute: bool = False  # set-ups get no response, not even a 100
-    lose_answers: float = 0.0  # share of final responses that are not sent
-    tear: float = 0.0  # share of final responses with the second half `SPLIT_ANSWER_DELAY` later
-    report_late: float = 0.0  # seconds that load reports are older than they should be
+    lost_answer_share: float = 0.0  # share of final responses that are not sent
+    split_answer_share: float = (
+        0.0  # share of final responses with the second half `SPLIT_ANSWER_DELAY` later
+    )
+    report_delay: float = 0.0  # seconds that load reports are older than they should be
     refuse_status: int = 0  # status that every set-up gets at once; 0: none
-    hot: dict[str, int] = field(default_factory=dict)  # lines of numbers that have only a few
+    line_limits: dict[str, int] = field(default_factory=dict)  # lines of numbers that have only a few
 
 
 class TrunkGroup:
@@ -66,7 +68,7 @@
 
     def __init__(self, size: int, own: int, neighbour: int) -> None:
         self.size, self.blocked = size, set[int]()
-        self.busy: dict[int, object] = {}  # leg by circuit
+        self.holders: dict[int, object] = {}  # leg by circuit
         self.displaced: dict[
             int, list[object]
         ] = {}  # legs whose circuit the far end took over, until they end
@@ -86,28 +88,28 @@
 
     def seize(self, width: int, owner: object) -> tuple[int, ...]:
         """Seize `width` free circuits and return them, or none if there are too few."""
-        free = [c for c in self.seizure_order if c not in self.busy and c not in self.blocked][:width]
+        free = [c for c in self.seizure_order if c not in self.holders and c not in self.blocked][:width]
         if len(free) < width:
             return ()
         for circuit in free:
-            self.busy[circuit] = owner
+            self.holders[circuit] = owner
         return tuple(free)
 
     def assign(self, circuit: int, owner: object) -> None:
         """Give a circuit to a leg that the far end seized it for, even if it is busy."""
-        if circuit in self.busy:
-            self.displaced.setdefault(circuit, []).append(self.busy[circuit])
-        self.busy[circuit] = owner
+        if circuit in self.holders:
+            self.displaced.setdefault(circuit, []).append(self.holders[circuit])
+        self.holders[circuit] = owner
 
     def release(self, owner: object) -> None:
         """Free the circuits of a leg; a circuit goes back to the leg displaced last, if there is one."""
         for owners in self.displaced.values():
             if owner in owners:
                 owners.remove(owner)
-        for circuit in [c for c, holder in self.busy.items() if holder is owner]:
-            del self.busy[circuit]
+        for circuit in [c for c, holder in self.holders.items() if holder is owner]:
+            del self.holders[circuit]
             if self.displaced.get(circuit):
-                self.busy[circuit] = self.displaced[circuit].pop()
+                self.holders[circuit] = self.displaced[circuit].pop()
 
 
 @dataclass(eq=False)
@@ -151,7 +153,7 @@
     answered: int = 0
     refused: int = 0
     circuit_faults: list[str] = field(default_factory=list)
-    fell: bool = False
+    crashed: bool = False
     own_attempts: int = 0
     own_answered: int = 0
 
@@ -160,21 +162,23 @@
     """One run of an exchange; a restart makes a new object with the same configuration."""
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, config: Plant, rng: Random, started_at: float | None
+        self, loop: asyncio.AbstractEventLoop, config: ExchangeConfig, rng: Random, started_at: float | None
     ) -> None:
         super().__init__(loop, f"x{config.number}", rng)
-        self.plant, self.started = config, started_at
-        self.faults, self.tally = Faults(), Counters()
-        self.neighbours: dict[int, str] = {}
-        self.trunks = {n: TrunkGroup(size, config.number, n) for n, size in config.circuits.items()}
-        self.legs: dict[tuple[str, str], InboundLeg] = {}  # by Call-ID and local tag
-        self.legs_out: dict[tuple[str, str], OutboundLeg] = {}  # by Call-ID and local tag
+        self.config, self.started_at = config, started_at
+        self.faults, self.counters = Faults(), Counters()
+        self.neighbour_addresses: dict[int, str] = {}
+        self.trunk_groups = {n: TrunkGroup(size, config.number, n) for n, size in config.group_sizes.items()}
+        self.inbound_legs: dict[tuple[str, str], InboundLeg] = {}  # by Call-ID and local tag
+        self.outbound_legs: dict[tuple[str, str], OutboundLeg] = {}  # by Call-ID and local tag
         self.legs_by_branch: dict[str, InboundLeg] = {}  # by branch of the INVITE, to match a CANCEL
-        processor_config = Making(
+        processor_config = ProcessorConfig(
             config.capacity, config.cold_share, config.cold_time, config.warm_up, config.answers_first
         )
         self.processor = Processor(processor_config, loop.time, self.call_later, started_at)
-        self.reports: deque[tuple[float, fields.Load]] = deque()  # with their times; the first one is sent
+        self.reports: deque[tuple[float, fields.OverloadReport]] = (
+            deque()
+        )  # with their times; the first one is sent
         self.last_report_at = -1e9  # seconds
         self.calls_by_number: dict[str, int] = {}  # standing calls to each number with only a few lines
         self.recent_set_ups: deque[float] = deque()
@@ -182,37 +186,40 @@
 
     # -- the processor -------------------------------------------------------------------------------------
 
-    def wake(self) -> None:
+    def resume(self) -> None:
         """End a hang: the processor goes on with its queue."""
         self.faults.mute = self.processor.hung = False
-        self.processor.next()
+        self.processor.start_next()
 
-    def load_report(self) -> fields.Load:
+    def load_report(self) -> fields.OverloadReport:
         """Return the load report to send; as in real exchanges it is renewed only at intervals."""
         now, processor = self.loop.time(), self.processor
-        if now - self.last_report_at >= self.plant.refresh:
-            self.last_report_at, report = now, fields.Load()
-            if self.plant.report == "rate":
+        if now - self.last_report_at >= self.config.report_interval:
+            self.last_report_at, report = now, fields.OverloadReport()
+            if self.config.report_kind == "rate":
                 rate = round(processor.capacity(), 3)
-                report = fields.Load(rate=rate, waiting=float(processor.set_ups()))
-            elif self.plant.report == "loss":
-                excess = processor.wait() / self.plant.refuse_past
-                report = fields.Load(reduce=round(min(max(excess - 0.25, 0.0), 0.95), 2))
+                report = fields.OverloadReport(
+                    max_rate=rate, queued_set_ups=float(processor.queued_set_ups())
+                )
+            elif self.config.report_kind == "loss":
+                excess = processor.queue_wait() / self.config.max_wait
+                report = fields.OverloadReport(reduction=round(min(max(excess - 0.25, 0.0), 0.95), 2))
             self.reports.append((now, report))
-        while len(self.reports) > 1 and self.reports[1][0] <= now - self.faults.report_late:
+        while len(self.reports) > 1 and self.reports[1][0] <= now - self.faults.report_delay:
             self.reports.popleft()
         return self.reports[0][1]
 
     def _overloaded_while_cold(self) -> bool:
         """Whether a cold exchange got more set-ups within the window than it survives."""
-        plant, now = self.plant, self.loop.time()
-        if not plant.fall_multiple or self.started is None or now - self.started > plant.cold_time:
+        config, now = self.config, self.loop.time()
+        if not config.crash_multiple or self.started_at is None or now - self.started_at > config.cold_time:
             return False
         self.recent_set_ups.append(now)
-        while self.recent_set_ups[0] < now - plant.fall_window:
+        while self.recent_set_ups[0] < now - config.crash_window:
             self.recent_set_ups.popleft()
         return (
-            len(self.recent_set_ups) > plant.fall_multiple * self.processor.capacity() * plant.fall_window + 3
+            len(self.recent_set_ups)
+            > config.crash_multiple * self.processor.capacity() * config.crash_window + 3
         )
 
     # -- requests ------------------------------------------------------------------------------------------
@@ -224,30 +231,30 @@
             self.transactions.respond(self.now(), tx, response(message, 200))
             leg = self.legs_by_branch.get(message.branch)
             if leg is not None and (leg.state == "asked" or leg.answer_lost):
-                if self.plant.drops_cancelled and leg.work is not None:
+                if self.config.drops_cancelled and leg.work is not None:
                     self.processor.drop(leg.work)
                 self._send_final(leg, response(leg.invite, 487, leg.tag))
                 if leg.outbound is not None:
-                    self._drop(leg.outbound)
+                    self._drop_outbound(leg.outbound)
         elif message.method == "BYE":
             self._handle_bye(tx, message)
         elif message.method == "OPTIONS":
-            self.processor.work(
+            self.processor.enqueue(
                 0.05, lambda: self._respond_with_load(tx, response(message, 200, self.new_id()))
             )
         else:
             self.transactions.respond(self.now(), tx, response(message, 405, self.new_id()))
 
     def _respond_with_load(self, tx: Transaction, answer: Message) -> None:
-        fields.add_load(answer, self.load_report())
+        fields.add_overload_report(answer, self.load_report())
         self.transactions.respond(self.now(), tx, answer)
-        self.pump()
+        self.process_events()
 
     def _handle_invite(self, tx: Transaction, message: Message) -> None:
-        self.tally.set_ups += 1
+        self.counters.set_ups += 1
         if self._overloaded_while_cold():
-            self.tally.fell = True
-            self.die()
+            self.counters.crashed = True
+            self.kill()
             return
         if not self.faults.mute:
             self.transactions.respond(self.now(), tx, response(message, 100))
@@ -258,32 +265,32 @@
             fault = self._claim_circuits(leg, message)
             if fault:
                 if "busy" in fault:  # glare and circuits just taken out of service are not counted as faults
-                    self.tally.circuit_faults.append(f"{self.loop.time():.3f} {fault}")
-                self._refuse(leg, 503, fields.reason(fields.NOT_THIS_CIRCUIT, fault))
+                    self.counters.circuit_faults.append(f"{self.loop.time():.3f} {fault}")
+                self._refuse(leg, 503, fields.reason(fields.REQUESTED_CIRCUIT_NOT_AVAILABLE, fault))
                 return
         if self.faults.refuse_status:
             self._refuse(leg, self.faults.refuse_status, "")
-        elif self.processor.wait() > self.plant.refuse_past:
-            self.processor.work(0.2, lambda: self._refuse_overloaded(leg))
+        elif self.processor.queue_wait() > self.config.max_wait:
+            self.processor.enqueue(0.2, lambda: self._refuse_overloaded(leg))
         else:
-            leg.work = self.processor.work(1.0, lambda: self._route_set_up(leg), set_up=True)
+            leg.work = self.processor.enqueue(1.0, lambda: self._route_set_up(leg), set_up=True)
 
     def _neighbour_of(self, message: Message) -> int:
         """Return the exchange at the far end of the trunk group in the Contact, -1 if there is none."""
-        group, _ = fields.read_trunk(message)
+        group, _ = fields.read_trunk_group(message)
         if not group:
             return -1
         first, _, second = group.partition("-")
-        return int(second) if int(first) == self.plant.number else int(first)
+        return int(second) if int(first) == self.config.number else int(first)
 
     def _claim_circuits(self, leg: InboundLeg, message: Message) -> str:
         """Mark the circuits that the far end seized as busy; return the reason if one cannot be taken."""
-        trunk_group = self.trunks.get(leg.neighbour)
-        circuits = fields.read_circuits(message.get(fields.CIRCUITS))
+        trunk_group = self.trunk_groups.get(leg.neighbour)
+        circuits = fields.read_circuits(message.get(fields.CIRCUITS_HEADER))
         if trunk_group is None:
             return f"no group with {leg.neighbour}"
         for circuit in circuits:
-            holder = trunk_group.busy.get(circuit)
+            holder = trunk_group.holders.get(circuit)
             if circuit >= trunk_group.size or circuit in trunk_group.blocked:
                 return f"circuit {circuit} is not in service"
             if holder is not None and isinstance(holder, OutboundLeg) and holder.state == "out":
@@ -298,10 +305,10 @@
 
     def _refuse_overloaded(self, leg: InboundLeg) -> None:
         answer = response(leg.invite, 503, leg.tag)
-        answer.set("reason", fields.reason(fields.CONGESTED))
-        if self.plant.names_wait:
-            fields.write_wait(answer, int(self.processor.wait() * 1e9))
-        self.tally.refused += 1
+        answer.set("reason", fields.reason(fields.EQUIPMENT_CONGESTION))
+        if self.config.sends_pause:
+            fields.write_wait(answer, int(self.processor.queue_wait() * 1e9))
+        self.counters.refused += 1
         self._send_final(leg, answer)
 
     def _refuse(self, leg: InboundLeg, status: int, reason: str) -> None:
@@ -316,36 +323,40 @@
         dest = next(
             (
                 exchange
-                for prefix, exchange in sorted(self.plant.numbers.items())
+                for prefix, exchange in sorted(self.config.dial_plan.items())
                 if number.startswith(prefix)
             ),
             -1,
         )
-        if dest == self.plant.number:
-            lines = self.faults.hot.get(number, 0)
+        if dest == self.config.number:
+            lines = self.faults.line_limits.get(number, 0)
             if lines and self.calls_by_number.get(number, 0) < lines:
                 leg.limited_number = number
                 self.calls_by_number[number] = self.calls_by_number.get(number, 0) + 1
                 self._answer_call(leg)
-            elif lines or self.rng.random() < self.plant.busy_lines:
-                self._refuse(leg, 486, fields.reason(fields.BUSY))
+            elif lines or self.rng.random() < self.config.busy_share:
+                self._refuse(leg, 486, fields.reason(fields.USER_BUSY))
             else:
                 self._answer_call(leg)
-        elif dest < 0 or dest not in self.trunks or leg.neighbour < 0:
+        elif dest < 0 or dest not in self.trunk_groups or leg.neighbour < 0:
             self._refuse(leg, 404, "")
         else:
             outbound = OutboundLeg(leg, dest)
             leg.outbound = outbound
             if not self._send_outbound(outbound, leg.invite):
-                self._refuse(leg, 503, fields.reason(fields.TURNED_BACK, "no circuit beyond", fields.OWN))
+                self._refuse(
+                    leg,
+                    503,
+                    fields.reason(fields.TANDEM_REFUSED, "no circuit beyond", fields.PRIVATE_PROTOCOL),
+                )
 
     def _answer_call(self, leg: InboundLeg) -> None:
         answer = response(leg.invite, 200, leg.tag)
-        answer.set("contact", f"<sip:x{self.plant.number}@{self.address}>")
-        leg.dialog = Dialog.of_server(leg.invite, answer, leg.tx.flow)
+        answer.set("contact", f"<sip:x{self.config.number}@{self.address}>")
+        leg.dialog = Dialog.for_uas(leg.invite, answer, leg.tx.flow)
         leg.state = "standing"
-        self.legs[leg.invite.call_id, leg.tag] = leg
-        self.tally.answered += 1
+        self.inbound_legs[leg.invite.call_id, leg.tag] = leg
+        self.counters.answered += 1
         self._send_final(leg, answer)
 
     def _send_final(self, leg: InboundLeg, answer: Message) -> None:
@@ -353,55 +364,55 @@
         if answer.status >= 300:
             leg.state = "over"
             self._free_leg(leg)
-        if self.rng.random() < self.faults.lose_answers and answer.status != 487:
+        if self.rng.random() < self.faults.lost_answer_share and answer.status != 487:
             leg.answer_lost = True
             self.legs_by_branch[leg.invite.branch] = leg  # the caller may still send a CANCEL
             return
-        fields.add_load(answer, self.load_report())
+        fields.add_overload_report(answer, self.load_report())
         if (
-            self.faults.tear
-            and self.rng.random() < self.faults.tear
+            self.faults.split_answer_share
+            and self.rng.random() < self.faults.split_answer_share
             and leg.tx.flow in self.connection_by_flow
         ):
             self.connection_by_flow[leg.tx.flow].split_next_write(SPLIT_ANSWER_DELAY)
         self.transactions.respond(self.now(), leg.tx, answer)
-        self.pump()
+        self.process_events()
 
     def _free_leg(self, leg: InboundLeg) -> None:
         self.legs_by_branch.pop(leg.invite.branch, None)
-        self.legs.pop((leg.invite.call_id, leg.tag), None)
+        self.inbound_legs.pop((leg.invite.call_id, leg.tag), None)
         if leg.limited_number:
             self.calls_by_number[leg.limited_number] -= 1
             leg.limited_number = ""
-        if leg.neighbour in self.trunks:
-            self.trunks[leg.neighbour].release(leg)
+        if leg.neighbour in self.trunk_groups:
+            self.trunk_groups[leg.neighbour].release(leg)
 
     # -- outgoing legs: transit calls and calls of own subscribers -----------------------------------------
 
     def _send_outbound(self, outbound: OutboundLeg, template: Message) -> bool:
         """Seize circuits and send an INVITE with the fields of `template`.  False if that is not possible."""
-        trunk_group = self.trunks[outbound.neighbour]
-        address = self.neighbours.get(outbound.neighbour, "")
-        width = len(fields.read_circuits(template.get(fields.CIRCUITS)))
-        flow = self.links.get(address)
+        trunk_group = self.trunk_groups[outbound.neighbour]
+        address = self.neighbour_addresses.get(outbound.neighbour, "")
+        width = len(fields.read_circuits(template.get(fields.CIRCUITS_HEADER)))
+        flow = self.flow_by_address.get(address)
         if flow is None or not trunk_group.seize(width, outbound):
             return False
-        circuits = [circuit for circuit, holder in trunk_group.busy.items() if holder is outbound]
+        circuits = [circuit for circuit, holder in trunk_group.holders.items() if holder is outbound]
         invite = request(
             "INVITE", template.uri, via=self.via(), sender=f"<sip:x@{self.address}>;tag={self.new_id()}",
             to=f"<{template.uri}>", call_id=self.new_id(), cseq=1,
         )  # fmt: skip
-        group = fields.group_name(self.plant.number, outbound.neighbour)
-        invite.set("contact", fields.trunk_contact(self.address, group, self.plant.context))
-        invite.set(fields.CIRCUITS, fields.write_circuits(tuple(circuits)))
-        for name in (fields.CLASS, fields.PATIENCE, "session-id"):
+        group = fields.group_name(self.config.number, outbound.neighbour)
+        invite.set("contact", fields.trunk_contact(self.address, group, self.config.context))
+        invite.set(fields.CIRCUITS_HEADER, fields.write_circuits(tuple(circuits)))
+        for name in (fields.CLASS_HEADER, fields.PATIENCE_HEADER, "session-id"):
             invite.set(name, template.get(name) or None)
         outbound.invite = invite
         outbound.tx = self.transactions.send(self.now(), flow, invite)
         outbound.tx.owner = outbound
         return True
 
-    def place(
+    def place_call(
         self, dest: int, via: int, number: str, class_name: str, width: int, give_up_time: float,
         holding_time: float, on_end: Callable[[str], None] | None = None,
     ) -> None:  # fmt: skip
@@ -409,30 +420,32 @@
 
         `on_end` is called once with how the set-up ended.
         """
-        self.tally.own_attempts += 1
+        self.counters.own_attempts += 1
         outbound = OutboundLeg(None, via, holding_time=holding_time, on_end=on_end)
         template = Message("INVITE", f"sip:{number}@{self.address}", 0, "", {
-            fields.CLASS: [class_name], fields.PATIENCE: [str(int(give_up_time * 1000))],
-            fields.CIRCUITS: [fields.write_circuits(tuple(range(width)))],
+            fields.CLASS_HEADER: [class_name], fields.PATIENCE_HEADER: [str(int(give_up_time * 1000))],
+            fields.CIRCUITS_HEADER: [fields.write_circuits(tuple(range(width)))],
             "session-id": [f"{self.rng.getrandbits(128):032x}"],
         })  # fmt: skip
         if not self._send_outbound(outbound, template):
             self._report_end(outbound, "no circuit")
         else:
-            self.call_later(give_up_time, lambda: self._drop(outbound) if outbound.state == "out" else None)
-        self.pump()
+            self.call_later(
+                give_up_time, lambda: self._drop_outbound(outbound) if outbound.state == "out" else None
+            )
+        self.process_events()
 
     def _report_end(self, outbound: OutboundLeg, outcome: str) -> None:
         if outbound.on_end is not None:
             on_end, outbound.on_end = outbound.on_end, None
             on_end(outcome)
 
-    def _drop(self, outbound: OutboundLeg) -> None:
+    def _drop_outbound(self, outbound: OutboundLeg) -> None:
         """Cancel a pending set-up, or release a standing call."""
         if outbound.state == "out" and outbound.tx is not None and outbound.invite is not None:
-            if outbound.tx.state is State.PROCEEDING and not outbound.cancel_sent:
+            if outbound.tx.state is TransactionState.PROCEEDING and not outbound.cancel_sent:
                 outbound.cancel_sent = True
-                self.transactions.send(self.now(), outbound.tx.flow, cancel(outbound.invite))
+                self.transactions.send(self.now(), outbound.tx.flow, make_cancel(outbound.invite))
             outbound.abandoned = True
         elif outbound.state == "standing" and outbound.dialog is not None:
             outbound.state = "releasing"
@@ -445,10 +458,10 @@
             owner.state = "over"
             self._free_leg(owner)
         if isinstance(owner, OutboundLeg) and message.status < 200 and owner.abandoned:
-            self._drop(owner)  # RFC 3261, 9.1: the provisional response allows the CANCEL
+            self._drop_outbound(owner)  # RFC 3261, 9.1: the provisional response allows the CANCEL
         if not isinstance(owner, OutboundLeg) or message.status < 200:
             return
-        if tx.kind is not Kind.CLIENT_INVITE:
+        if tx.kind is not TransactionKind.CLIENT_INVITE:
             self._end_outbound(owner, "released")
             return
         assert owner.invite is not None
@@ -456,70 +469,76 @@
             self._end_outbound(owner, f"refused {message.status}")
             if owner.inbound is not None and owner.inbound.state == "asked":
                 protocol, cause = fields.read_reason(message)
-                full = protocol == "Q.850" and cause == fields.CONGESTED
-                reported_cause = fields.BEYOND_FULL if full else fields.TURNED_BACK
-                self._refuse(owner.inbound, 503, fields.reason(reported_cause, "beyond", fields.OWN))
+                full = protocol == "Q.850" and cause == fields.EQUIPMENT_CONGESTION
+                reported_cause = fields.BEYOND_FULL if full else fields.TANDEM_REFUSED
+                self._refuse(
+                    owner.inbound, 503, fields.reason(reported_cause, "beyond", fields.PRIVATE_PROTOCOL)
+                )
             return
-        ack = acknowledge(owner.invite, message, self.via())
+        ack = make_ack(owner.invite, message, self.via())
         self.transactions.out.append((tx.flow, ack.encode()))
-        owner.dialog = Dialog.of_client(owner.invite, message, tx.flow)
-        self.legs_out[owner.invite.call_id, owner.invite.from_tag] = owner
+        owner.dialog = Dialog.for_uac(owner.invite, message, tx.flow)
+        self.outbound_legs[owner.invite.call_id, owner.invite.from_tag] = owner
         owner.state = "standing"
         if owner.abandoned or (owner.inbound is not None and owner.inbound.state != "asked"):
-            self._drop(owner)
+            self._drop_outbound(owner)
         elif owner.inbound is not None:
             self._answer_call(owner.inbound)
         else:
-            self.tally.own_answered += 1
+            self.counters.own_answered += 1
             self._report_end(owner, "stands")
-            self.call_later(owner.holding_time, lambda: self._drop(owner))
+            self.call_later(owner.holding_time, lambda: self._drop_outbound(owner))
 
     def _end_outbound(self, outbound: OutboundLeg, outcome: str) -> None:
         outbound.state = "over"
-        self.trunks[outbound.neighbour].release(outbound)
+        self.trunk_groups[outbound.neighbour].release(outbound)
         if outbound.invite is not None:
-            self.legs_out.pop((outbound.invite.call_id, outbound.invite.from_tag), None)
+            self.outbound_legs.pop((outbound.invite.call_id, outbound.invite.from_tag), None)
         self._report_end(outbound, outcome)
 
-    def on_transaction_failed(self, tx: Transaction, broken: bool) -> None:
+    def on_transaction_failed(self, tx: Transaction, transport_failed: bool) -> None:
         owner = tx.owner
         if isinstance(owner, InboundLeg):
             self._free_leg(owner)
         elif isinstance(owner, OutboundLeg):
             self._end_outbound(owner, "lost")
             if owner.inbound is not None and owner.inbound.state == "asked":
-                self._refuse(owner.inbound, 503, fields.reason(fields.TURNED_BACK, "lost beyond", fields.OWN))
+                self._refuse(
+                    owner.inbound,
+                    503,
+                    fields.reason(fields.TANDEM_REFUSED, "lost beyond", fields.PRIVATE_PROTOCOL),
+                )
 
     def _handle_bye(self, tx: Transaction, message: Message) -> None:
         key = (message.call_id, message.to_tag)
-        leg, outbound = self.legs.get(key), self.legs_out.get(key)
+        leg, outbound = self.inbound_legs.get(key), self.outbound_legs.get(key)
         if leg is None and outbound is None:
             self.transactions.respond(self.now(), tx, response(message, 481))
             return
-        if not self.plant.releases_wait:
+        if not self.config.queues_releases:
             self._complete_release(tx, message)
-            self.processor.work(self.plant.release_work, lambda: None, first=True)
+            self.processor.enqueue(self.config.release_work, lambda: None, first=True)
         else:
-            self.processor.work(
-                self.plant.release_work, lambda: self._complete_release(tx, message), first=True
+            self.processor.enqueue(
+                self.config.release_work, lambda: self._complete_release(tx, message), first=True
             )
 
     def _complete_release(self, tx: Transaction, message: Message) -> None:
         """Answer the BYE, free the circuits at this end, and release the other leg of a transit call."""
         self.transactions.respond(self.now(), tx, response(message, 200))
         key = (message.call_id, message.to_tag)
-        leg, outbound = self.legs.get(key), self.legs_out.get(key)
+        leg, outbound = self.inbound_legs.get(key), self.outbound_legs.get(key)
         if leg is not None:
             leg.state = "over"
             self._free_leg(leg)
             if leg.outbound is not None:
-                self._drop(leg.outbound)
+                self._drop_outbound(leg.outbound)
         if outbound is not None:
             self._end_outbound(
-                outbound, "cut" if fields.read_reason(message)[1] != fields.NORMAL else "released"
+                outbound, "cut" if fields.read_reason(message)[1] != fields.NORMAL_CLEARING else "released"
             )
             if outbound.inbound is not None:
-                self.hang_up(outbound.inbound, fields.NORMAL)
+                self.hang_up(outbound.inbound, fields.NORMAL_CLEARING)
 
     # -- faults and commands of a script -------------------------------------------------------------------
 
@@ -532,59 +551,59 @@
         bye.set("reason", fields.reason(cause))
         self.transactions.send(self.now(), leg.dialog.flow, bye).owner = leg
 
-    def standing(self) -> list[InboundLeg]:
+    def standing_legs(self) -> list[InboundLeg]:
         """Return the incoming legs whose calls stand."""
-        return [leg for leg in self.legs.values() if leg.state == "standing"]
+        return [leg for leg in self.inbound_legs.values() if leg.state == "standing"]
 
-    def cut(self, share: float) -> int:
+    def cut_calls(self, share: float) -> int:
         """Cut a share of the standing calls; return how many."""
-        legs = self.standing()
+        legs = self.standing_legs()
         sampled = self.rng.sample(legs, round(share * len(legs)))
         for leg in sampled:
-            self.hang_up(leg, fields.NETWORK_OUT)
-        self.pump()
+            self.hang_up(leg, fields.NETWORK_OUT_OF_ORDER)
+        self.process_events()
         return len(sampled)
 
-    def block(self, neighbour: int, keep: float) -> None:
+    def block_circuits(self, neighbour: int, keep: float) -> None:
         """Leave this share of a group's circuits in service, and tell the far end which ones are blocked."""
-        trunk_group = self.trunks[neighbour]
+        trunk_group = self.trunk_groups[neighbour]
         lost = lost_circuits(trunk_group.size, keep)
         trunk_group.blocked = set(lost)
-        address = self.neighbours.get(neighbour, "")
-        if address in self.links:
-            tell_blocked(self, address, (self.plant.number, neighbour), self.plant.context, lost)
+        address = self.neighbour_addresses.get(neighbour, "")
+        if address in self.flow_by_address:
+            notify_blocked(self, address, (self.config.number, neighbour), self.config.context, lost)
 
     def on_connection_lost(self, flow: int) -> None:
         """Release the legs on the connection; calls that stood there are cut."""
-        for leg in [leg for leg in self.legs.values() if leg.tx.flow == flow]:
+        for leg in [leg for leg in self.inbound_legs.values() if leg.tx.flow == flow]:
             leg.state = "over"
             self._free_leg(leg)
             if leg.outbound is not None:
-                self._drop(leg.outbound)
+                self._drop_outbound(leg.outbound)
         for leg in [
             leg for leg in self.legs_by_branch.values() if leg.tx.flow == flow and leg.state == "asked"
         ]:
             leg.state = "over"
             self._free_leg(leg)
             if leg.outbound is not None:
-                self._drop(leg.outbound)
+                self._drop_outbound(leg.outbound)
         for outbound in [
-            leg for leg in self.legs_out.values() if leg.dialog is not None and leg.dialog.flow == flow
+            leg for leg in self.outbound_legs.values() if leg.dialog is not None and leg.dialog.flow == flow
         ]:
             self._end_outbound(outbound, "cut")
             if outbound.inbound is not None:
-                self.hang_up(outbound.inbound, fields.NETWORK_OUT)
+                self.hang_up(outbound.inbound, fields.NETWORK_OUT_OF_ORDER)
 
-    async def join(self, neighbours: dict[int, str]) -> None:
+    async def connect_neighbours(self, neighbours: dict[int, str]) -> None:
         """Connect to the neighbours, and reconnect for as long as the exchange runs."""
-        self.neighbours = neighbours
+        self.neighbour_addresses = neighbours
         for address in neighbours.values():
-            self._keep(address)
+            self._keep_connected(address)
 
-    def _keep(self, address: str) -> None:
+    def _keep_connected(self, address: str) -> None:
         async def run() -> None:
-            while not self.dead:
-                if address not in self.links:
+            while not self.killed:
+                if address not in self.flow_by_address:
                     with contextlib.suppress(OSError):
                         await self.dial(address)
                 await asyncio.sleep(0.25)
@@ -597,7 +616,7 @@
     return sorted(range(size), key=lambda c: (c * 7919) % 10007)[: round((1 - keep) * size)]
 
 
-def tell_blocked(
+def notify_blocked(
     element: Element, address: str, pair: tuple[int, int], context: str, lost: list[int]
 ) -> None:
     """Send a call server the full set of a group's circuits that are out of service."""
@@ -608,7 +627,7 @@
     )  # fmt: skip
     group = fields.group_name(*pair)
     notify.set("contact", fields.trunk_contact(element.address, group, context))
-    notify.set("event", fields.CIRCUITS)
-    notify.set(fields.CIRCUITS, ",".join(map(str, sorted(lost))))
-    element.transactions.send(element.now(), element.links[address], notify)
-    element.pump()
+    notify.set("event", fields.CIRCUITS_HEADER)
+    notify.set(fields.CIRCUITS_HEADER, ",".join(map(str, sorted(lost))))
+    element.transactions.send(element.now(), element.flow_by_address[address], notify)
+    element.process_events()
--- a/eiderstep/standin/platform.py
+++ b/eiderstep/standin/platform.py
@@ -13,7 +13,7 @@
 
 from eiderstep.isup import message as isup
 from eiderstep.isup.message import Message
-from eiderstep.isup.parser import Parser, Unreadable
+from eiderstep.isup.parser import FramingError, Parser
 
 HOST = "127.0.0.1"
 SetUpHandler = Callable[["OfficeWire", Message], None]
@@ -35,7 +35,7 @@
         for item in self.parser.feed(data):
             self.handle_item(item)
 
-    def handle_item(self, item: Message | Unreadable) -> None:
+    def handle_item(self, item: Message | FramingError) -> None:
         raise NotImplementedError
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -55,20 +55,20 @@
 
     def connection_made(self, transport: Any) -> None:
         super().connection_made(transport)
-        self.office.wires.append(self)
+        self.office.connections.append(self)
         self.send_state()
 
     def connection_lost(self, exc: Exception | None) -> None:
         super().connection_lost(exc)
-        self.office.wires.remove(self)
+        self.office.connections.remove(self)
 
     def send_state(self) -> None:
         """Send the state of the trunk group: the first message of a link, repeated on every change."""
-        free = self.office.size - len(self.office.standing)
+        free = self.office.size - len(self.office.standing_calls)
         report = f"x0:{free};x1:{self.office.size};queue:0;qps:100"
-        self.send(Message(isup.STATE, isup.NO_CALL, {isup.REPORT: report.encode()}))
+        self.send(Message(isup.GROUP_STATE, isup.NO_CALL, {isup.LOAD_REPORT: report.encode()}))
 
-    def handle_item(self, item: Message | Unreadable) -> None:
+    def handle_item(self, item: Message | FramingError) -> None:
         assert isinstance(item, Message), "the call server sent a message that cannot be parsed"
         self.office.handle_message(self, item)
 
@@ -78,15 +78,15 @@
 
     def __init__(self, name: str, number: int, size: int = 40) -> None:
         self.name, self.number, self.size = name, number, size
-        self.reply: SetUpHandler = self.answer
-        self.wires: list[OfficeWire] = []
+        self.on_set_up: SetUpHandler = self.answer_call
+        self.connections: list[OfficeWire] = []
         self.received: list[Message] = []
-        self.standing: set[str] = set()
-        self.deaf = False
+        self.standing_calls: set[str] = set()
+        self.ignores_messages = False
         self.server: asyncio.Server | None = None
         self.port = 0
 
-    async def open(self) -> None:
+    async def listen(self) -> None:
         self.server = await asyncio.get_running_loop().create_server(
             lambda: OfficeWire(self), HOST, self.port
         )
@@ -96,53 +96,55 @@
         """Behave as a killed process: connections are reset, new ones refused, and standing calls lost."""
         if self.server is not None:
             self.server.close()
-        for wire in list(self.wires):
-            wire.transport.abort()
-        self.standing.clear()
+        for connection in list(self.connections):
+            connection.transport.abort()
+        self.standing_calls.clear()
 
-    def entry(self, health: str = "ready") -> dict[str, Any]:
+    def list_entry(self, health: str = "ready") -> dict[str, Any]:
         """Return the office as an entry of the change log."""
         return {
             "host": self.name, "dial": f"{HOST}:{self.port}", "site": "east", "class": "std",
             "block": self.number, "health": health, "share": 1.0, "born_ms": 0,
         }  # fmt: skip
 
-    def handle_message(self, wire: OfficeWire, message: Message) -> None:
-        if self.deaf:
+    def handle_message(self, connection: OfficeWire, message: Message) -> None:
+        if self.ignores_messages:
             return
         if message.kind == isup.TEST:
-            wire.send(Message(isup.TESTED, message.call, {isup.CAUSE: b"\1"}))
+            connection.send(Message(isup.TEST_RESULT, message.call, {isup.CAUSE: b"\1"}))
             return
         self.received.append(message)
         if message.kind == isup.IAM:
-            self.reply(wire, message)
+            self.on_set_up(connection, message)
         elif message.kind == isup.REL:
-            self.standing.discard(message.call)
+            self.standing_calls.discard(message.call)
             self.send_states()
 
     def send_states(self) -> None:
         """Report the number of free circuits on up to four links."""
-        for wire in self.wires[:4]:
-            wire.send_state()
+        for connection in self.connections[:4]:
+            connection.send_state()
 
-    def answer(self, wire: OfficeWire, message: Message) -> None:
+    def answer_call(self, connection: OfficeWire, message: Message) -> None:
         """Answer a set-up; the call stands."""
-        self.standing.add(message.call)
+        self.standing_calls.add(message.call)
         described = f"{self.name} {message.call}\r\n".encode()
-        wire.send(Message(isup.ANM, message.call, {isup.DESCRIPTION: described}))
+        connection.send(Message(isup.ANM, message.call, {isup.DESCRIPTION: described}))
         self.send_states()
 
     def refuse_with(self, cause: int) -> SetUpHandler:
         """Return a handler that refuses set-ups with a Q.850 cause."""
-        return lambda wire, message: wire.send(Message(isup.REL, message.call, {isup.CAUSE: bytes((cause,))}))
+        return lambda connection, message: connection.send(
+            Message(isup.REL, message.call, {isup.CAUSE: bytes((cause,))})
+        )
 
-    def release(self, call: str, cause: int = isup.NORMAL) -> None:
+    def release_call(self, call: str, cause: int = isup.NORMAL_CLEARING) -> None:
         """Release a standing call on the newest link."""
-        self.standing.discard(call)
-        self.wires[-1].send(Message(isup.REL, call, {isup.CAUSE: bytes((cause,))}))
+        self.standing_calls.discard(call)
+        self.connections[-1].send(Message(isup.REL, call, {isup.CAUSE: bytes((cause,))}))
         self.send_states()
 
-    def count(self, kind: int) -> int:
+    def count_received(self, kind: int) -> int:
         """Return how many messages of a kind were received."""
         return sum(message.kind == kind for message in self.received)
 
@@ -155,14 +157,14 @@
 
     def __init__(self) -> None:
         self.events: list[dict[str, Any]] = []
-        self.polls: list[int] = []  # the event number that each poll started from
+        self.polled_since: list[int] = []  # the event number that each poll started from
         self.fault = ""
         self.server: asyncio.Server | None = None
         self.port = 0
         self.event_added = asyncio.Event()
         self.writers: list[asyncio.StreamWriter] = []
 
-    async def open(self) -> None:
+    async def listen(self) -> None:
         self.server = await asyncio.start_server(self._serve, HOST, 0)
         self.port = self.server.sockets[0].getsockname()[1]
 
@@ -172,13 +174,13 @@
         for writer in self.writers:
             writer.close()
 
-    def tell(self, *hosts: dict[str, Any], whole: bool = False) -> None:
+    def append_event(self, *hosts: dict[str, Any], whole: bool = False) -> None:
         """Append an event.  `whole`: the hosts are the full list, not a change."""
         seq = len(self.events) + 1
         self.events.append({"seq": seq, "fleet": {"seq": seq, "whole": whole, "hosts": list(hosts)}})
         self.event_added.set()
 
-    def answer(self, since: int) -> dict[str, Any]:
+    def events_since(self, since: int) -> dict[str, Any]:
         """Return the response to a poll: the events after number `since`."""
         return {"seq": len(self.events), "results": self.events[since:]}
 
@@ -188,14 +190,14 @@
             while head := await reader.readuntil(b"\r\n\r\n"):
                 query = dict(p.split("=") for p in head.split()[1].decode().partition("?")[2].split("&"))
                 since, timeout = int(query["since"]), int(query["timeout"]) / 1000
-                self.polls.append(since)
+                self.polled_since.append(since)
                 if self.fault == "silent":
                     await asyncio.sleep(3600)
                 if len(self.events) <= since:
                     self.event_added.clear()
                     with contextlib.suppress(TimeoutError):
                         await asyncio.wait_for(self.event_added.wait(), timeout)
-                body = json.dumps(self.answer(since)).encode()
+                body = json.dumps(self.events_since(since)).encode()
                 data = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body
                 if self.fault == "cut" and self.events[since:]:
                     writer.write(data[:-20])
@@ -212,31 +214,33 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.heard: asyncio.Queue[Message | Unreadable] = asyncio.Queue()
+        self.received: asyncio.Queue[Message | FramingError] = asyncio.Queue()
 
-    def handle_item(self, item: Message | Unreadable) -> None:
-        self.heard.put_nowait(item)
+    def handle_item(self, item: Message | FramingError) -> None:
+        self.received.put_nowait(item)
 
     @classmethod
     async def dial(cls, port: int) -> Caller:
-        _, wire = await asyncio.get_running_loop().create_connection(cls, HOST, port)
-        return wire
+        _, connection = await asyncio.get_running_loop().create_connection(cls, HOST, port)
+        return connection
 
-    def ask(self, call: str, dest: int, wait: int = 2000, figures: str = "", **more: bytes) -> None:
+    def send_set_up(
+        self, call: str, dest: int, give_up_ms: int = 2000, routing_data: str = "", **more: bytes
+    ) -> None:
         """Send a set-up with a give-up time in ms.
 
         `more`: further parameters by the lower-case names of `isup` constants.
         """
         parameters = {
-            isup.CLASS: b"voice", isup.PATIENCE: str(wait).encode(), isup.NUMBER: call.encode(),
-            isup.FIGURES: (figures or f"dest:{dest};width:1;via:-1").encode(),
+            isup.CLASS: b"voice", isup.GIVE_UP_TIME: str(give_up_ms).encode(), isup.NUMBER: call.encode(),
+            isup.ROUTING_DATA: (routing_data or f"dest:{dest};width:1;via:-1").encode(),
             isup.DESCRIPTION: f"caller {call}\r\n".encode(),
         }  # fmt: skip
         parameters |= {getattr(isup, name.upper()): value for name, value in more.items()}
         self.send(Message(isup.IAM, call, parameters))
 
-    async def hear(self, seconds: float = 10.0) -> Message:
+    async def receive(self, seconds: float = 10.0) -> Message:
         """Return the next received message.  Raises TimeoutError after that many seconds."""
-        item = await asyncio.wait_for(self.heard.get(), seconds)
+        item = await asyncio.wait_for(self.received.get(), seconds)
         assert isinstance(item, Message)
         return item
--- a/eiderstep/standin/processor.py
+++ b/eiderstep/standin/processor.py
@@ -6,11 +6,11 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-SHAPES = ("linear", "late", "stepped", "by work")
+WARM_UP_SHAPES = ("linear", "late", "stepped", "by work")
 
 
 @dataclass(frozen=True)
-class Making:
+class ProcessorConfig:
     """The configuration of a processor.  Times in seconds.
 
     `warm_up`: how the capacity grows from `cold_share` to the full capacity: linearly over `cold_time`; late
@@ -22,10 +22,10 @@
     cold_share: float = 0.3  # of the capacity, right after a start
     cold_time: float = 0.0
     warm_up: str = "linear"
-    first: bool = False  # answers and releases are served before set-ups
+    answers_first: bool = False  # answers and releases are served before set-ups
 
 
-def warmth(shape: str, age: float) -> float:
+def warm_up_progress(shape: str, age: float) -> float:
     """Return the progress from cold to warm, 0 to 1, at `age`, the elapsed share of the warm-up time."""
     age = min(max(age, 0.0), 1.0)
     if shape == "late":
@@ -52,54 +52,54 @@
     `now()` returns seconds, and `schedule(seconds, action)` runs an action after a delay.
     """
 
-    config: Making
+    config: ProcessorConfig
     now: Callable[[], float]
     schedule: Callable[[float, Callable[[], object]], None]
-    started: float | None  # time of the start; None: long ago, the processor is warm
-    slow: float = 1.0  # factor on the time of all work
+    started_at: float | None  # time of the start; None: long ago, the processor is warm
+    slow_factor: float = 1.0  # factor on the time of all work
     hung: bool = False  # queues work and does none
     ageing: tuple[float, float] | None = None  # its start, and the time in which service times double
     queue: deque[WorkItem] = field(default_factory=deque)
     priority_queue: deque[WorkItem] = field(default_factory=deque)  # answers and releases, if they go first
     queued_units: float = 0.0
-    done_units: float = 0.0
+    completed_units: float = 0.0
     busy: bool = False
 
     def capacity(self) -> float:
         """Return the present capacity in set-ups a second."""
         config, share = self.config, 1.0
-        if self.started is not None and config.cold_time:
+        if self.started_at is not None and config.cold_time:
             if config.warm_up == "by work":
-                age = self.done_units / (config.capacity * config.cold_time)
+                age = self.completed_units / (config.capacity * config.cold_time)
             else:
-                age = (self.now() - self.started) / config.cold_time
-            share = config.cold_share + (1 - config.cold_share) * warmth(config.warm_up, age)
+                age = (self.now() - self.started_at) / config.cold_time
+            share = config.cold_share + (1 - config.cold_share) * warm_up_progress(config.warm_up, age)
         return config.capacity * share / self.slowdown()
 
     def slowdown(self) -> float:
         """Return the factor on service times from the faults "slow" and "ageing"."""
-        factor = self.slow
+        factor = self.slow_factor
         if self.ageing is not None:
             start, doubling_time = self.ageing
             factor *= 2.0 ** max((self.now() - start) / doubling_time, 0.0)
         return factor
 
-    def wait(self) -> float:
+    def queue_wait(self) -> float:
         """Return how long a set-up that arrives now would wait (s)."""
         return self.queued_units / self.capacity()
 
-    def set_ups(self) -> int:
+    def queued_set_ups(self) -> int:
         """Return the number of set-ups in the queue."""
         return sum(1 for item in self.queue if item.is_set_up and not item.dropped)
 
-    def work(
+    def enqueue(
         self, units: float, action: Callable[[], None], set_up: bool = False, first: bool = False
     ) -> WorkItem:
         """Queue work and return its item.  `first`: the work is an answer or a release."""
         item = WorkItem(units, action, set_up)
-        (self.priority_queue if first and self.config.first else self.queue).append(item)
+        (self.priority_queue if first and self.config.answers_first else self.queue).append(item)
         self.queued_units += units
-        self.next()
+        self.start_next()
         return item
 
     def drop(self, item: WorkItem) -> None:
@@ -108,7 +108,7 @@
             item.dropped = True
             self.queued_units -= item.units
 
-    def next(self) -> None:
+    def start_next(self) -> None:
         """Start on the next item, if there is one and the processor is neither busy nor hung."""
         while not (self.busy or self.hung) and (self.priority_queue or self.queue):
             item = (self.priority_queue or self.queue).popleft()
@@ -126,6 +126,6 @@
             self.priority_queue.appendleft(item)
             self.queued_units += item.units
             return
-        self.done_units += item.units
+        self.completed_units += item.units
         item.action()
-        self.next()
+        self.start_next()
--- a/eiderstep/standin/proxy.py
+++ b/eiderstep/standin/proxy.py
@@ -99,12 +99,12 @@
         for side in list(self.sides):
             side.transport.abort()
 
-    def cut(self) -> None:
+    def reset_and_refuse(self) -> None:
         """Reset every connection, and refuse new ones from now on."""
         self.refuse = True
         self.reset()
 
-    def mend(self) -> None:
+    def stop_refusing(self) -> None:
         """Accept new connections again; `drop` and `delay` are left as they are."""
         self.refuse = False
 
--- a/eiderstep/standin/register.py
+++ b/eiderstep/standin/register.py
@@ -62,7 +62,7 @@
             }
             for entry in entries
         ]  # fmt: skip
-        event = msgspec.json.encode({"gen": self.register.gen, "kind": kind, "entries": rows})
+        event = msgspec.json.encode({"gen": self.register.generation, "kind": kind, "entries": rows})
         self.send_chunk(b"data: " + event + b"\n\n")
 
     def send_chunk(self, data: bytes) -> None:
@@ -88,7 +88,7 @@
         self.loop, self.lag, self.heartbeat_interval = loop, lag, heartbeat_interval
         self.entries: dict[str, Entry] = {}
         self.clients: list[_Connection] = []
-        self.gen = 0  # version of the list
+        self.generation = 0  # version of the list
         self.silent = False
         self.status = 200
         self.server: Any = None
@@ -110,14 +110,14 @@
                     client.send_chunk(b": still here\n\n")
             self.loop.call_later(self.heartbeat_interval, self._send_heartbeats)
 
-    def preset(self, entry: Entry) -> None:
+    def add_running(self, entry: Entry) -> None:
         """Add an entry without sending an event, for an exchange listed before the clients connect."""
         self.entries[entry.office] = entry
 
-    def died(self, number: int) -> None:
+    def exchange_died(self, number: int) -> None:
         """Do nothing: this register does not notice that an exchange died without signing off."""
 
-    def change(self, entry: Entry) -> None:
+    def update_exchange(self, entry: Entry) -> None:
         """Update the entry of one exchange and send it to the clients, after the lag."""
 
         def apply() -> None:
@@ -125,7 +125,7 @@
                 self.entries.pop(entry.office, None)
             else:
                 self.entries[entry.office] = entry
-            self.gen += 1
+            self.generation += 1
             if not self.silent:
                 for client in list(self.clients):
                     client.send_event("changes", [entry])
@@ -135,7 +135,7 @@
         else:
             apply()
 
-    def fall_silent(self, seconds: float) -> None:
+    def stop_answering(self, seconds: float) -> None:
         """Send nothing for a while, then close the connections, so that clients get a full list again."""
         self.silent = True
         self.loop.call_later(seconds, self._end_silence)
--- a/eiderstep/standin/stranger.py
+++ b/eiderstep/standin/stranger.py
@@ -18,11 +18,11 @@
 from typing import Any
 
 from eiderstep.sip import fields
-from eiderstep.sip.dialog import cancel
+from eiderstep.sip.dialog import make_cancel
 from eiderstep.sip.message import Message, request, response, split_address
 from eiderstep.sip.parser import BadMessage, Parser
 
-NOBODY, CALLER, EXCHANGE = "nobody", "caller", "exchange"  # kinds of senders; nobody: an unknown address
+UNKNOWN, CALLER, EXCHANGE = "nobody", "caller", "exchange"  # kinds of senders; nobody: an unknown address
 
 
 @dataclass(frozen=True)
@@ -30,12 +30,12 @@
     """A standing call, with what its caller and the far exchange know of it."""
 
     invite: Message  # sent by the caller
-    to: str  # To of the caller's dialog, with the tag that the caller got
-    set_up: Message  # INVITE that the far exchange received
+    caller_to: str  # To of the caller's dialog, with the tag that the caller got
+    far_invite: Message  # INVITE that the far exchange received
     far_to: str  # To of the far exchange's dialog, with the tag that it gave
     group: str  # trunk group of the call
     number: str  # a number that can be called
-    cls: str  # name of a call class
+    call_class: str  # name of a call class
     context: str  # trunk context
     far_host: str = ""  # address of the exchange at the far end of the group; it does not attack this call
 
@@ -48,8 +48,8 @@
     """One attack."""
 
     sender: str  # kind of sender
-    answers: tuple[int, ...]  # statuses that the response may have; empty: there must be no response
-    made: MessageFactory  # makes the message from a victim and a serial number
+    allowed_statuses: tuple[int, ...]  # statuses that the response may have; empty: there must be no response
+    make: MessageFactory  # makes the message from a victim and a serial number
 
 
 def _request(method: str, serial: int, uri: str = "sip:x@x", call_id: str = "", cseq: int = 1) -> Message:
@@ -70,13 +70,17 @@
 
 
 def _notify(victim: Victim, serial: int, circuits: str = "0-65535", **headers: str) -> Message:
-    defaults = {"contact": _trunk_contact(victim), "event": fields.CIRCUITS, "eiderstep_circuits": circuits}
+    defaults = {
+        "contact": _trunk_contact(victim),
+        "event": fields.CIRCUITS_HEADER,
+        "eiderstep_circuits": circuits,
+    }
     return _with_headers(_request("NOTIFY", serial), **{**defaults, **headers})
 
 
 def _invite(victim: Victim, serial: int, **headers: str) -> Message:
     return _with_headers(
-        _request("INVITE", serial, f"sip:{victim.number}@x"), eiderstep_class=victim.cls, **headers
+        _request("INVITE", serial, f"sip:{victim.number}@x"), eiderstep_class=victim.call_class, **headers
     )
 
 
@@ -88,29 +92,29 @@
 
 def _bye(victim: Victim, serial: int, cseq: int = 99) -> Message:
     message = _request("BYE", serial, call_id=victim.invite.call_id, cseq=cseq)
-    return _with_headers(message, **{"from": victim.invite.get("from"), "to": victim.to})
+    return _with_headers(message, **{"from": victim.invite.get("from"), "to": victim.caller_to})
 
 
-def _far_bye(victim: Victim, serial: int, cause: int = fields.NETWORK_OUT) -> Message:
-    message = _request("BYE", serial, call_id=victim.set_up.call_id, cseq=99)
-    headers = {"from": victim.far_to, "to": victim.set_up.get("from"), "reason": fields.reason(cause)}
+def _far_bye(victim: Victim, serial: int, cause: int = fields.NETWORK_OUT_OF_ORDER) -> Message:
+    message = _request("BYE", serial, call_id=victim.far_invite.call_id, cseq=99)
+    headers = {"from": victim.far_to, "to": victim.far_invite.get("from"), "reason": fields.reason(cause)}
     return _with_headers(message, **headers)
 
 
 def _reinvite(victim: Victim, serial: int) -> Message:
     return _with_headers(
         _invite(victim, serial),
-        **{"call-id": victim.invite.call_id, "from": victim.invite.get("from"), "to": victim.to},
+        **{"call-id": victim.invite.call_id, "from": victim.invite.get("from"), "to": victim.caller_to},
     )
 
 
 def _ack(victim: Victim, serial: int) -> Message:
     message = _request("ACK", serial, call_id=victim.invite.call_id, cseq=victim.invite.cseq)
-    return _with_headers(message, **{"from": victim.invite.get("from"), "to": victim.to})
+    return _with_headers(message, **{"from": victim.invite.get("from"), "to": victim.caller_to})
 
 
 def _forged_response(victim: Victim, status: int, **headers: str) -> Message:
-    message = response(victim.set_up, status, "forged")
+    message = response(victim.far_invite, status, "forged")
     return _with_headers(message, contact="<sip:s@s>", **headers)
 
 
@@ -126,7 +130,9 @@
     """Return a copy of the caller's own INVITE, with another branch."""
     headers = {name: list(values) for name, values in victim.invite.headers.items()}
     message = Message("INVITE", victim.invite.uri, 0, "", headers)
-    return _with_headers(message, eiderstep_class=victim.cls, via=f"SIP/2.0/TCP s;branch=z9hG4bKs{serial}")
+    return _with_headers(
+        message, eiderstep_class=victim.call_class, via=f"SIP/2.0/TCP s;branch=z9hG4bKs{serial}"
+    )
 
 
 OVERLONG_HEAD = b"OPTIONS sip:a@b SIP/2.0\r\n" + b"X: y\r\n" * 4000
@@ -134,7 +140,7 @@
 HUGE_LENGTH = "Content-Length: 9999999999\r\n"
 ZERO_LENGTH = "Content-Length: 0\r\n"
 ATTACKS: dict[str, Attack] = {
-    "circuits out, by nobody": Attack(NOBODY, (403,), _notify),
+    "circuits out, by nobody": Attack(UNKNOWN, (403,), _notify),
     "circuits out, by a caller": Attack(CALLER, (403,), _notify),
     "circuits out, by another exchange": Attack(EXCHANGE, (403,), _notify),
     "circuits out, a thousand ranges": Attack(
@@ -145,49 +151,49 @@
     ),
     "circuits out, no group": Attack(EXCHANGE, (400,), lambda v, n: _notify(v, n, contact="<sip:s@s>")),
     "circuits out, another event": Attack(EXCHANGE, (489,), lambda v, n: _notify(v, n, event="dialog")),
-    "circuits in service again, by nobody": Attack(NOBODY, (403,), lambda v, n: _notify(v, n, "0-0")),
-    "BYE, by nobody": Attack(NOBODY, (403,), _bye),
+    "circuits in service again, by nobody": Attack(UNKNOWN, (403,), lambda v, n: _notify(v, n, "0-0")),
+    "BYE, by nobody": Attack(UNKNOWN, (403,), _bye),
     "BYE, by another caller": Attack(CALLER, (481,), _bye),
     "BYE, by another exchange": Attack(EXCHANGE, (481,), _bye),
-    "BYE as the far end, by nobody": Attack(NOBODY, (403,), _far_bye),
+    "BYE as the far end, by nobody": Attack(UNKNOWN, (403,), _far_bye),
     "BYE as the far end, by a caller": Attack(CALLER, (481,), _far_bye),
     "BYE as the far end, by another exchange": Attack(EXCHANGE, (481,), _far_bye),
     "BYE of no call": Attack(CALLER, (481,), lambda v, n: _with_headers(_bye(v, n), to="<sip:x@x>;tag=none")),
     "BYE with a guessed Call-ID": Attack(
         CALLER, (481,), lambda v, n: _with_headers(_bye(v, n), call_id=f"{v.invite.call_id}{n}")
     ),
-    "CANCEL, by nobody": Attack(NOBODY, (403,), lambda v, n: cancel(v.invite)),
-    "CANCEL, by another caller": Attack(CALLER, (481,), lambda v, n: cancel(v.invite)),
-    "CANCEL, by another exchange": Attack(EXCHANGE, (481,), lambda v, n: cancel(v.invite)),
-    "CANCEL of the set-up, by a caller": Attack(CALLER, (481,), lambda v, n: cancel(v.set_up)),
-    "re-INVITE, by nobody": Attack(NOBODY, (403,), _reinvite),
+    "CANCEL, by nobody": Attack(UNKNOWN, (403,), lambda v, n: make_cancel(v.invite)),
+    "CANCEL, by another caller": Attack(CALLER, (481,), lambda v, n: make_cancel(v.invite)),
+    "CANCEL, by another exchange": Attack(EXCHANGE, (481,), lambda v, n: make_cancel(v.invite)),
+    "CANCEL of the set-up, by a caller": Attack(CALLER, (481,), lambda v, n: make_cancel(v.far_invite)),
+    "re-INVITE, by nobody": Attack(UNKNOWN, (403,), _reinvite),
     "re-INVITE, by another caller": Attack(CALLER, (481,), _reinvite),
-    "ACK, by nobody": Attack(NOBODY, (), _ack),
+    "ACK, by nobody": Attack(UNKNOWN, (), _ack),
     "ACK, by another caller": Attack(CALLER, (), _ack),
     "ACK, by another exchange": Attack(EXCHANGE, (), _ack),
-    "INVITE replayed, by nobody": Attack(NOBODY, (403,), _replayed_invite),
-    "seizure, by nobody": Attack(NOBODY, (403,), _seizure),
+    "INVITE replayed, by nobody": Attack(UNKNOWN, (403,), _replayed_invite),
+    "seizure, by nobody": Attack(UNKNOWN, (403,), _seizure),
     "seizure, by a caller": Attack(CALLER, (403,), _seizure),
     "seizure, by another exchange": Attack(EXCHANGE, (403,), _seizure),
     "seizure without a group": Attack(CALLER, (403,), lambda v, n: _invite(v, n, eiderstep_circuits="0")),
     "seizure of a group that is nobody's": Attack(
         EXCHANGE, (403,), lambda v, n: _seizure(v, n, contact=_trunk_contact(v, "7000-7001"))
     ),
-    "call, by nobody": Attack(NOBODY, (403,), _invite),
+    "call, by nobody": Attack(UNKNOWN, (403,), _invite),
     "call, by an exchange": Attack(EXCHANGE, (403,), _invite),
     "advice, by a caller": Attack(CALLER, (403,), lambda v, n: _invite(v, n, eiderstep_advice="1")),
-    "marks, by nobody": Attack(NOBODY, (403,), lambda v, n: _invite(v, n, eiderstep_marks="cut")),
-    "OPTIONS, by nobody": Attack(NOBODY, (403,), lambda v, n: _request("OPTIONS", n)),
-    "REGISTER, by nobody": Attack(NOBODY, (403,), lambda v, n: _request("REGISTER", n)),
+    "marks, by nobody": Attack(UNKNOWN, (403,), lambda v, n: _invite(v, n, eiderstep_marks="cut")),
+    "OPTIONS, by nobody": Attack(UNKNOWN, (403,), lambda v, n: _request("OPTIONS", n)),
+    "REGISTER, by nobody": Attack(UNKNOWN, (403,), lambda v, n: _request("REGISTER", n)),
     "REGISTER, by a caller": Attack(CALLER, (405,), lambda v, n: _request("REGISTER", n)),
-    "200 to a set-up, by nobody": Attack(NOBODY, (), lambda v, n: _forged_response(v, 200)),
+    "200 to a set-up, by nobody": Attack(UNKNOWN, (), lambda v, n: _forged_response(v, 200)),
     "200 to a set-up, by a caller": Attack(CALLER, (), lambda v, n: _forged_response(v, 200)),
     "200 to a set-up, by another exchange": Attack(EXCHANGE, (), lambda v, n: _forged_response(v, 200)),
     "503 to a set-up, by another exchange": Attack(EXCHANGE, (), lambda v, n: _forged_response(v, 503)),
     "load report, by a caller": Attack(
         CALLER, (), lambda v, n: _forged_response(v, 503, eiderstep_waiting="9999", eiderstep_pause="999999")
     ),
-    "another protocol": Attack(NOBODY, (), lambda v, n: HTTP_REQUEST),
+    "another protocol": Attack(UNKNOWN, (), lambda v, n: HTTP_REQUEST),
     "a start line without end": Attack(CALLER, (), lambda v, n: b"INVITE sip:" + b"a" * 5000),
     "a head without end": Attack(CALLER, (), lambda v, n: OVERLONG_HEAD),
     "no length on a stream": Attack(CALLER, (400,), lambda v, n: _raw_invite(n)),
@@ -197,11 +203,11 @@
         CALLER, (400,), lambda v, n: _raw_invite(n, "1", ZERO_LENGTH + "From: <sip:b@b>;tag=2\r\n")
     ),
     "no number in the dial plan": Attack(CALLER, (404,), lambda v, n: _with_headers(
-        _request("INVITE", n, "sip:nobody@x"), eiderstep_class=v.cls)),
+        _request("INVITE", n, "sip:nobody@x"), eiderstep_class=v.call_class)),
 }  # fmt: skip
 
 
-def coded(message: Message | bytes) -> bytes:
+def encode_message(message: Message | bytes) -> bytes:
     return message if isinstance(message, bytes) else message.encode()
 
 
@@ -212,7 +218,9 @@
         self.transport: Any = None
         self.parser, self.statuses = Parser(), dict[int, int]()
         self.lost: asyncio.Event = asyncio.Event()
-        self.came: asyncio.Event = asyncio.Event()  # set by received data and by the loss of the connection
+        self.activity: asyncio.Event = (
+            asyncio.Event()
+        )  # set by received data and by the loss of the connection
 
     def connection_made(self, transport: Any) -> None:
         self.transport = transport
@@ -223,14 +231,14 @@
             message = item.message if isinstance(item, BadMessage) else item
             status = message.status if message is not None else 0
             self.statuses[status] = self.statuses.get(status, 0) + 1
-        self.came.set()
+        self.activity.set()
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.lost.set()
-        self.came.set()
+        self.activity.set()
 
 
-class Stranger:
+class Attacker:
     """Sends attacks from several addresses.
 
     `hosts`: source addresses by kind of sender; `victims`: returns the calls that stand at the moment;
@@ -263,7 +271,7 @@
         """Send random attacks for that long, with slow writers and idle connections beside them."""
         ends, serial = self.loop.time() + seconds, 0
         names = sorted(ATTACKS)
-        for host in self.hosts[NOBODY] + self.hosts[CALLER]:
+        for host in self.hosts[UNKNOWN] + self.hosts[CALLER]:
             for _ in range(20):
                 connection = await self.connect(host)
                 if connection is not None:
@@ -298,7 +306,7 @@
                 return
             self.connections[host] = connection
         self.sent[name] = self.sent.get(name, 0) + 1
-        connection.transport.write(coded(attack.made(victim, serial)))
+        connection.transport.write(encode_message(attack.make(victim, serial)))
 
     def _add_statuses(self, connection: Connection) -> None:
         for status, count in connection.statuses.items():
@@ -315,11 +323,12 @@
             transport.abort()
 
 
-def told(victims: list[Victim]) -> str:
+def victims_to_json(victims: list[Victim]) -> str:
     """Return victims as a line of JSON, for attackers in a process of their own."""
     rows = [
-        [victim.invite.encode().decode("latin-1"), victim.to, victim.set_up.encode().decode("latin-1"),
-         victim.far_to, victim.group, victim.number, victim.cls, victim.context, victim.far_host]
+        [victim.invite.encode().decode("latin-1"), victim.caller_to,
+         victim.far_invite.encode().decode("latin-1"),
+         victim.far_to, victim.group, victim.number, victim.call_class, victim.context, victim.far_host]
         for victim in victims
     ]  # fmt: skip
     return json.dumps(rows) + "\n"
@@ -349,7 +358,7 @@
         def connection_lost(self, exc: Exception | None) -> None:
             attacker.stopped = True
 
-    attacker = Stranger(loop, server, json.loads(hosts), lambda: victims, Random(seed), rate)
+    attacker = Attacker(loop, server, json.loads(hosts), lambda: victims, Random(seed), rate)
     await loop.connect_read_pipe(Input, sys.stdin)
     await attacker.run(seconds)
     print(json.dumps({"sent": attacker.sent, "statuses": attacker.status_counts}), flush=True)
--- a/eiderstep/trust/authority.py
+++ b/eiderstep/trust/authority.py
@@ -18,7 +18,7 @@
 from cryptography.hazmat.primitives.asymmetric import ec
 from cryptography.x509.oid import ExtendedKeyUsageOID, NameOID
 
-from eiderstep.trust.proof import CertificateInfo, KeysError, RevocationList, sip_names
+from eiderstep.trust.certificates import CertificateInfo, KeysError, RevocationList, sip_names
 
 SIP_DOMAIN = x509.ObjectIdentifier("1.3.6.1.5.5.7.3.20")  # RFC 5924, id-kp-sipDomain
 BACKDATE_S = 60  # notBefore lies this long before the time of issue, as clocks differ
@@ -49,7 +49,7 @@
         self.folder = folder
 
     @staticmethod
-    def make(folder: Path, name: str, now: float, days: float = 3650) -> Authority:
+    def create(folder: Path, name: str, now: float, days: float = 3650) -> Authority:
         """Create a CA.  Raises KeysError where the folder has one already."""
         if (folder / "ca.key").exists():
             raise KeysError(f"{folder}: found a CA; allowed: a folder without ca.key")
@@ -67,7 +67,7 @@
         write_public(folder / "ca.pem", _pem(builder.sign(key, hashes.SHA256())))
         authority = Authority(folder)
         authority._save_rows([])
-        authority.write_list(now)
+        authority.write_crl(now)
         return authority
 
     def issue(self, name: str, now: float, hours: float = 24.0, stem: str = "") -> Path:
@@ -108,12 +108,14 @@
         # with the old pair, and reads again later.
         write_public(self.folder / f"{stem}.pem", _pem(builder.sign(signer, hashes.SHA256())))
         write_private(self.folder / f"{stem}.key", _key_bytes(key))
-        self._save_rows([*self.rows(), IssuedCertificate(name.lower(), f"{serial:x}", begins, int(ends))])
+        self._save_rows(
+            [*self.issued_certificates(), IssuedCertificate(name.lower(), f"{serial:x}", begins, int(ends))]
+        )
         return self.folder / f"{stem}.pem"
 
     def revoke(self, what: str, now: float) -> list[IssuedCertificate]:
         """Revoke all valid certificates of a name, or the one with a serial number (hexadecimal)."""
-        rows = self.rows()
+        rows = self.issued_certificates()
         valid = [r for r in rows if what.lower() in (r.name, r.serial) and not r.revoked and r.ends > now]
         if not valid:
             raise KeysError(
@@ -122,24 +124,24 @@
         for row in valid:
             row.revoked = int(now)
         self._save_rows(rows)
-        self.write_list(now)
+        self.write_crl(now)
         return valid
 
-    def write_list(self, now: float, hours: float = 24.0) -> Path:
+    def write_crl(self, now: float, hours: float = 24.0) -> Path:
         """Write the revocation list `crl.pem`, which is up to date for `hours`."""
         ca, signer = self._load_ca()
         builder = (
             x509.CertificateRevocationListBuilder().issuer_name(ca.subject)
             .last_update(_utc(now)).next_update(_utc(now + hours * 3600))
         )  # fmt: skip
-        for row in self.rows():
+        for row in self.issued_certificates():
             if row.revoked and row.ends > now - 86_400:
                 entry = x509.RevokedCertificateBuilder().serial_number(int(row.serial, 16))
                 builder = builder.add_revoked_certificate(entry.revocation_date(_utc(row.revoked)).build())
         write_public(self.folder / "crl.pem", _pem(builder.sign(signer, hashes.SHA256())))
         return self.folder / "crl.pem"
 
-    def rows(self) -> list[IssuedCertificate]:
+    def issued_certificates(self) -> list[IssuedCertificate]:
         """All issued certificates, oldest first."""
         try:
             return msgspec.json.decode(
--- a/eiderstep/trust/limits.py
+++ b/eiderstep/trust/limits.py
@@ -17,7 +17,7 @@
 from enum import Enum, auto
 
 from eiderstep.config.schema import SourceLimits
-from eiderstep.trust.pace import Bucket
+from eiderstep.trust.pace import LeakyBucket
 
 SECOND = 1_000_000_000
 # As a multiple of the message rate: a source that heeds Retry-After does not reach it.
@@ -47,7 +47,7 @@
     message_seen: bool = False
 
 
-class Source(Bucket):
+class Source(LeakyBucket):
     """The state of one source; the bucket counts its messages."""
 
     __slots__ = ("faults", "flows", "last_fault_at", "name", "pause", "paused_until", "silent_flows")
@@ -94,7 +94,7 @@
                 return "too many connections"
             if now < source.paused_until:
                 return "source paused"
-            if handshake and source.pour(now, HANDSHAKE_WEIGHT) > 1.0:
+            if handshake and source.add(now, HANDSHAKE_WEIGHT) > 1.0:
                 return "too many handshakes of one source"
             if source.flows >= limits.connections:
                 return "too many connections of one source"
@@ -131,7 +131,7 @@
         entry = self.flows.get(flow)
         if entry is None:
             return Verdict.TAKE
-        backlog = entry.source.pour(now)
+        backlog = entry.source.add(now)
         if backlog <= 1.0:  # allows a burst of one second's worth of messages
             return Verdict.TAKE
         # If an exchange were read slowly, answers and releases of all its calls would be late.  Above its
--- a/eiderstep/trust/pace.py
+++ b/eiderstep/trust/pace.py
@@ -9,7 +9,7 @@
 MAX_KEYS = 1024
 
 
-class Bucket:
+class LeakyBucket:
     """A leaky bucket used as a meter: drains at `rate` a second; `level` is what has not drained yet."""
 
     __slots__ = ("level", "rate", "updated_at")
@@ -18,14 +18,14 @@
         self.rate = rate
         self.level, self.updated_at = 0.0, 0
 
-    def pour(self, now: int, weight: int = 1) -> float:
+    def add(self, now: int, weight: int = 1) -> float:
         """Add `weight`; returns how many seconds the bucket needs to drain."""
         self.level = max(self.level - (now - self.updated_at) / SECOND * self.rate, 0.0) + weight
         self.updated_at = now
         return self.level / self.rate
 
 
-class Thinner:
+class LogRateLimiter:
     """Limits log lines to `burst` for each key and `period` (ns), and counts the suppressed ones.
 
     A log line for each message of an attacker would fill the disk and cost more than the message.  Of the
@@ -36,7 +36,7 @@
         self.burst, self.period = burst, period
         self.windows: OrderedDict[Hashable, list[int]] = OrderedDict()  # start, passed, suppressed
 
-    def line(self, now: int, key: Hashable) -> int:
+    def count_line(self, now: int, key: Hashable) -> int:
         """Count one line; returns the number suppressed in the last period, or -1 to suppress this one."""
         window = self.windows.get(key)
         if window is None:
--- a/eiderstep/trust/party.py
+++ b/eiderstep/trust/party.py
@@ -1,7 +1,7 @@
 """Identification of remote peers: by certificate over TLS, by configured address on plain links.
 
-What a message says about its sender is not used.  `Book` holds the addresses and identities from the
-settings and the list of exchanges, and is consulted once for each new connection.
+What a message says about its sender is not used.  `PartyDirectory` holds the addresses and identities
+from the settings and the list of exchanges, and is consulted once for each new connection.
 """
 
 from __future__ import annotations
@@ -22,13 +22,13 @@
     `exchanges`: the exchange numbers it may act for.  There is more than one only where several exchanges
     share an address on a plain network, until the first trunk group that the peer names decides which of them
     it is.  `caller`: the entry of the settings that allows it to originate calls, or None.  `source`: the key
-    of its limits.  `proven`: identified by a certificate, not by its address alone.
+    of its limits.  `authenticated`: identified by a certificate, not by its address alone.
     """
 
     exchanges: frozenset[int] = frozenset()
     caller: Caller | None = None
     source: str = ""
-    proven: bool = False
+    authenticated: bool = False
 
     @property
     def known(self) -> bool:
@@ -45,10 +45,10 @@
         return f"caller {self.caller.name}" if self.caller is not None else "nobody"
 
 
-NOBODY = Party()
+UNKNOWN_PARTY = Party()
 
 
-def same(one: Party, other: Party) -> bool:
+def same_exchange(one: Party, other: Party) -> bool:
     """Whether two peers are certain to be the same exchange.
 
     Never true for callers, since many of them may share an address or a key.
@@ -56,14 +56,14 @@
     return one.exchange >= 0 and one.exchange == other.exchange
 
 
-class Book:
+class PartyDirectory:
     """Addresses of exchanges, networks of callers and names in certificates, by settings and list."""
 
     def __init__(self, settings: ServerSettings) -> None:
         self.settings = settings
         self.configured_hosts: dict[str, set[int]] = {}  # host: exchanges, from the settings
         self.listed_hosts: dict[str, set[int]] = {}  # host: exchanges, from the list
-        self.own = Caller(name="lines")  # the peer at `lines`: our own subscriber lines
+        self.own_lines = Caller(name="lines")  # the peer at `lines`: our own subscriber lines
         for peer in settings.peers:
             for host in (split_address(peer.address)[0], *peer.hosts):
                 self.configured_hosts.setdefault(canonical_host(host), set()).add(peer.number)
@@ -76,7 +76,7 @@
         ]
         self._caller_cache: dict[str, Caller | None] = {}
 
-    def heard(self, listed: dict[str, int]) -> None:
+    def update_listed_hosts(self, listed: dict[str, int]) -> None:
         """Take addresses of exchanges from the list: office addresses and their exchange numbers.
 
         Without them, an exchange that moved would be unknown at its new address until the settings change.
--- a/eiderstep/trust/rules.py
+++ b/eiderstep/trust/rules.py
@@ -16,7 +16,7 @@
 FORBIDDEN, NO_SUCH_DIALOG, NO_RESPONSE = 403, 481, 0
 
 
-class Act(Enum):
+class Permission(Enum):
     """Kinds of requests and header fields that need a permission."""
 
     __hash__ = object.__hash__
@@ -37,42 +37,42 @@
     """A rule for one kind of request.
 
     `allows(sender, about, own)`: see the module.  `status`: the answer to a request that is not allowed;
-    NO_RESPONSE where it must not be answered.  `danger`: the threat that the rule averts.  `hurts`: the
+    NO_RESPONSE where it must not be answered.  `threat`: the threat that the rule averts.  `cost`: the
     legitimate traffic that it refuses.
     """
 
     status: int
     allows: Callable[[Party, int, bool], bool]
-    danger: str
-    hurts: str
+    threat: str
+    cost: str
 
 
-RULES: dict[Act, Rule] = {
-    Act.ANYTHING: Rule(
+RULES: dict[Permission, Rule] = {
+    Permission.ANYTHING: Rule(
         FORBIDDEN,
         lambda sender, about, own: sender.known,
         "an unknown sender takes processing time and memory with each message, and can explore the server",
         "peers that are not in the settings yet: callers from a new network, an exchange with a new address",
     ),
-    Act.CALL: Rule(
+    Permission.CALL: Rule(
         FORBIDDEN,
         lambda sender, about, own: sender.caller is not None,
         "an exchange or an unknown sender originates calls for which no configured caller is responsible",
         "an exchange that passes on its subscribers' calls without a trunk group",
     ),
-    Act.TRANSIT: Rule(
+    Permission.TRANSIT: Rule(
         FORBIDDEN,
         lambda sender, about, own: about in sender.exchanges,
         "circuits of another exchange's group are seized: its calls are blocked, its circuit states differ",
         "an exchange whose address or identity is not in the settings",
     ),
-    Act.CIRCUITS: Rule(
+    Permission.CIRCUITS: Rule(
         FORBIDDEN,
         lambda sender, about, own: about in sender.exchanges,
         "one message takes a whole group out of service and cuts its calls",
         "a management system that acts for many exchanges: it needs a key for each of them",
     ),
-    Act.MARKS: Rule(
+    Permission.MARKS: Rule(
         FORBIDDEN,
         lambda sender, about, own: (
             bool(sender.exchanges) or (sender.caller is not None and sender.caller.marks)
@@ -80,13 +80,13 @@
         "a call is treated as cut before, or is not counted in the measured load",
         "callers whose equipment marks redials, but whose entry in the settings does not allow it",
     ),
-    Act.ADVICE: Rule(
+    Permission.ADVICE: Rule(
         FORBIDDEN,
         lambda sender, about, own: sender.caller is not None and sender.caller.advice,
         "calls are routed over a tandem chosen by the sender, which becomes overloaded",
         "a routing centre without an entry in the settings",
     ),
-    Act.CLASS: Rule(
+    Permission.CLASS: Rule(
         FORBIDDEN,
         lambda sender, about, own: (
             bool(sender.exchanges) or (sender.caller is not None and (own or not sender.caller.classes))
@@ -94,13 +94,13 @@
         "calls of a class with higher worth than the caller is entitled to take precedence over other calls",
         "a caller that starts to use another class: its entry in the settings must name it",
     ),
-    Act.WITHIN: Rule(
+    Permission.WITHIN: Rule(
         NO_SUCH_DIALOG,
         lambda sender, about, own: own,
         "a sender that learns or guesses a call's identifiers ends it; a 403 would reveal the call",
         "a caller that reconnects after its connection was lost: its calls were cut with the connection",
     ),
-    Act.LATE: Rule(
+    Permission.LATE: Rule(
         NO_RESPONSE,
         lambda sender, about, own: own and bool(sender.exchanges),
         "each forged 200 causes an ACK and a BYE and keeps a transaction for 64 x T1",
@@ -109,7 +109,7 @@
 }
 
 
-def refusal(act: Act, sender: Party, about: int = -1, own: bool = False) -> Rule | None:
+def violated_rule(permission: Permission, sender: Party, about: int = -1, own: bool = False) -> Rule | None:
     """The rule that forbids this, or None where it is allowed."""
-    rule = RULES[act]
+    rule = RULES[permission]
     return None if rule.allows(sender, about, own) else rule
--- a/eiderstep/wirehost.py
+++ b/eiderstep/wirehost.py
@@ -69,7 +69,7 @@
         call=values[0],
         class_no=values[1],
         expires=values[4],
-        number=values[3] or "",
+        called_number=values[3] or "",
         dest=values[6] if values[6] is not None else -1,
         width=values[7] or 1,
         hint=values[8] if values[8] is not None else -1,
@@ -94,9 +94,9 @@
         office=values[5],
         outcome=OUTCOMES[values[4]],
         cause=cause,
-        settled=bool(values[3]),
-        took=values[6] or 0,
-        named_wait=wait,
+        call_over=bool(values[3]),
+        elapsed=values[6] or 0,
+        retry_after=wait,
         report=read_report(values[7]) if len(values) > 7 else None,
     )
 
--- a/setup.py
+++ b/setup.py
@@ -1,6 +1,7 @@
 """Builds the package; with EIDERSTEP_COMPILE=1 the parser and the engine are compiled by mypyc.
 
-The decisions stay plain Python: they are read at night, and what is read is what runs.
+The decision module is not compiled: operators on night duty read its source, which must be the code that
+runs.
 """
 
 import os
@@ -9,7 +10,7 @@
 
 COMPILED = {
     "sip": ("message", "parser", "fields", "dialog", "transaction"),
-    "engine": ("timers", "circuits", "calls", "effects", "offers", "mapping", "legs", "requests", "core"),
+    "engine": ("timers", "circuits", "calls", "effects", "invites", "mapping", "legs", "requests", "core"),
 }
 
 
@@ -18,7 +19,9 @@
         return []
     from mypyc.build import mypycify
 
-    return mypycify([f"eiderstep/{room}/{name}.py" for room, names in COMPILED.items() for name in names])
+    return mypycify(
+        [f"eiderstep/{package}/{name}.py" for package, names in COMPILED.items() for name in names]
+    )
 
 
 setup(ext_modules=extensions())
--- a/tests/node_rig.py
+++ b/tests/node_rig.py
@@ -26,7 +26,7 @@
 )  # fmt: skip
 
 
-class ScriptedDecider:
+class ScriptedController:
     """Records the events passed to it and returns the actions that the test has put into `next_actions`."""
 
     def __init__(self, settings: io.Settings, seed: int) -> None:
@@ -44,8 +44,8 @@
 ) -> Message:
     class_name = overrides.pop("class_name", b"voice")
     parameters = {
-        isup.CLASS: class_name, isup.PATIENCE: str(wait).encode(), isup.NUMBER: b"7f3a9c21e0b4d655",
-        isup.FIGURES: pairs.encode(), isup.DESCRIPTION: b"words of the caller\r\n",
+        isup.CLASS: class_name, isup.GIVE_UP_TIME: str(wait).encode(), isup.NUMBER: b"7f3a9c21e0b4d655",
+        isup.ROUTING_DATA: pairs.encode(), isup.DESCRIPTION: b"words of the caller\r\n",
     }  # fmt: skip
     parameters |= {getattr(isup, name.upper()): value for name, value in overrides.items()}
     return Message(isup.IAM, call, parameters)
@@ -58,7 +58,7 @@
 def release(call: str = CALL_A, cause: int = 16, diagnostic: str = "", report: str = "") -> Message:
     parameters = {isup.CAUSE: bytes((cause,))}
     parameters |= {isup.DIAGNOSTIC: diagnostic.encode()} if diagnostic else {}
-    parameters |= {isup.REPORT: report.encode()} if report else {}
+    parameters |= {isup.LOAD_REPORT: report.encode()} if report else {}
     return Message(isup.REL, call, parameters)
 
 
@@ -67,9 +67,9 @@
 
     def __init__(self) -> None:
         self.now = START
-        self.calls = CallTable(SETTINGS, ("voice", "wide"), 500 * MS, 1, ScriptedDecider)
-        assert isinstance(self.calls.mind, ScriptedDecider)
-        self.decider = self.calls.mind
+        self.calls = CallTable(SETTINGS, ("voice", "wide"), 500 * MS, 1, ScriptedController)
+        assert isinstance(self.calls.controller, ScriptedController)
+        self.controller = self.calls.controller
         self.effects: list[fx.Effect] = []
         up = io.OfficeState.UP
         self.calls.update_offices(
@@ -81,7 +81,7 @@
 
     def flush(self, *actions: io.Action) -> list[tuple[int, Message]]:
         """Flush, with `actions` as the decider's answer; return the messages sent, with their flows."""
-        self.decider.next_actions += actions
+        self.controller.next_actions += actions
         self.effects += self.calls.flush(self.now)
         sent = []
         for flow, data in self.calls.outgoing:
@@ -99,8 +99,8 @@
 
     def take_events(self, kind: type) -> list[io.Event]:
         """Remove and return the events of a type that the decider has received."""
-        found = [event for event in self.decider.events if isinstance(event, kind)]
-        self.decider.events = [event for event in self.decider.events if not isinstance(event, kind)]
+        found = [event for event in self.controller.events if isinstance(event, kind)]
+        self.controller.events = [event for event in self.controller.events if not isinstance(event, kind)]
         return found
 
     def offer(self, call: str = CALL_A, office: str = OFFICE) -> list[tuple[int, Message]]:
@@ -112,7 +112,7 @@
         self.offer(call)
         assert self.calls.handle_office_message(self.now, LINK, answer(call))
         self.flush()
-        self.decider.events.clear()
+        self.controller.events.clear()
 
     def holds_nothing(self) -> bool:
         """Whether nothing is held of any call after the longest time that a release is kept."""
@@ -120,10 +120,10 @@
         calls.discard_expired(self.now + 9 * SECOND)
         held = (
             calls.calls,
-            calls.standing,
+            calls.standing_by_office,
             calls.waiting_for_link,
             calls.pending_releases,
             calls.events,
             calls.outgoing,
         )
-        return not (any(held) or any(calls.asked.values()) or any(calls.on_link.values()))
+        return not (any(held) or any(calls.open_set_ups.values()) or any(calls.attempts_by_link.values()))
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -95,7 +95,7 @@
             self.answered_at.setdefault(event.call, self.now)
         elif isinstance(event, io.AttemptEnded):
             self.attempts.pop(event.call, None)
-            if event.settled:
+            if event.call_over:
                 self.answered_at.setdefault(event.call, self.now)
             if event.outcome in (io.Outcome.NO_ANSWER, io.Outcome.CUT, io.Outcome.CANCELLED):
                 self.not_before[event.call] = self.now + self.settings.release_wait
--- a/tests/sip_rig.py
+++ b/tests/sip_rig.py
@@ -44,11 +44,11 @@
         self.sent: list[tuple[int, Message]] = []
         self.effects: list[Effect] = []
         self.invites_made = 0
-        self.engine.begin(self.now)
+        self.engine.start(self.now)
         for flow in (CALLER, SECOND_CALLER, 3, 4):
-            self.engine.meet(flow, Party(caller=Caller(name="own", advice=True), source="c"))
+            self.engine.set_party(flow, Party(caller=Caller(name="own", advice=True), source="c"))
         for number in (1, 2):
-            self.engine.meet(20 + number, Party(frozenset([number]), source=f"10.0.0.{number}"))
+            self.engine.set_party(20 + number, Party(frozenset([number]), source=f"10.0.0.{number}"))
         for number in links:
             self.engine.link_up(self.now, f"10.0.0.{number}:1", 10 + number)
         self.flush()
@@ -65,26 +65,26 @@
         self.sent += outgoing
         return outgoing
 
-    def give(self, flow: int, *messages: Message) -> list[tuple[int, Message]]:
+    def deliver(self, flow: int, *messages: Message) -> list[tuple[int, Message]]:
         """Deliver messages on a flow; returns the messages sent in response."""
         for message in messages:
-            self.engine.message(self.now, flow, Parser().feed(message.encode())[0])
+            self.engine.handle_message(self.now, flow, Parser().feed(message.encode())[0])
         return self.flush()
 
-    def run(self, seconds: float) -> list[tuple[int, Message]]:
+    def advance(self, seconds: float) -> list[tuple[int, Message]]:
         """Advance the clock, running each timer when it is due; returns the messages sent."""
         end, outgoing = self.now + int(seconds * SECOND), []
         while (due := self.engine.next_due()) is not None and due <= end:
             self.now = max(self.now, due)
-            self.engine.due(self.now)
+            self.engine.run_timers(self.now)
             outgoing += self.flush()
         self.now = end
         return outgoing
 
     def invite(
-        self, number: str = "1000", cls: str = "plain", patience: str = "3", **headers: str
+        self, number: str = "1000", class_name: str = "plain", give_up_time: str = "3", **headers: str
     ) -> Message:
-        """A new INVITE of a caller; `patience` in seconds, `headers` with underscores for hyphens."""
+        """A new INVITE of a caller; `give_up_time` in seconds, `headers` with underscores for hyphens."""
         self.invites_made += 1
         message = request(
             "INVITE", f"sip:{number}@10.0.0.9", via=f"SIP/2.0/TCP c;branch=z9hG4bKc{self.invites_made}",
@@ -92,14 +92,14 @@
             call_id=f"call{self.invites_made}", cseq=1,
         )  # fmt: skip
         message.set("contact", "<sip:c@c>")
-        message.set("eiderstep-class", cls)
-        message.set("eiderstep-patience", str(int(float(patience) * 1000)))
+        message.set("eiderstep-class", class_name)
+        message.set("eiderstep-patience", str(int(float(give_up_time) * 1000)))
         message.set("session-id", f"{self.invites_made:032x}")
         for name, value in headers.items():
             message.set(name.replace("_", "-"), value)
         return message
 
-    def from_peer(self, peer: int, circuits: str, number: str = "2000", **headers: str) -> Message:
+    def transit_invite(self, peer: int, circuits: str, number: str = "2000", **headers: str) -> Message:
         """A new INVITE in transit over the trunk group to exchange `peer`."""
         contact = f"<sip:trunk;tgrp=0-{peer};trunk-context=t@10.0.0.{peer}>"
         message = self.invite(number, **headers)
@@ -107,23 +107,23 @@
         message.set("eiderstep-circuits", circuits)
         return message
 
-    def call(self, number: str = "1000", **more: str) -> tuple[Message, Message]:
+    def offer_call(self, number: str = "1000", **more: str) -> tuple[Message, Message]:
         """Offer a call; returns the caller's INVITE and the INVITE of the set-up sent on."""
         invite = self.invite(number, **more)
-        return invite, one(self.give(CALLER, invite), "INVITE")
+        return invite, only_message(self.deliver(CALLER, invite), "INVITE")
 
-    def stand(self, number: str = "1000") -> tuple[Message, Message, Message]:
+    def establish_call(self, number: str = "1000") -> tuple[Message, Message, Message]:
         """Establish a call; returns both INVITEs and the 200 that the caller got."""
-        invite, set_up = self.call(number)
+        invite, set_up = self.offer_call(number)
         flow = 10 + int(number[0])
-        outgoing = self.give(flow, answer(set_up, 100), answer(set_up, 200))
-        return invite, set_up, one(outgoing, 200)
+        outgoing = self.deliver(flow, far_response(set_up, 100), far_response(set_up, 200))
+        return invite, set_up, only_message(outgoing, 200)
 
-    def free(self, peer: int = 1) -> int:
+    def free_circuits(self, peer: int = 1) -> int:
         """Number of free circuits toward an exchange."""
-        return self.engine.ledgers[peer].free
+        return self.engine.trunk_groups[peer].free
 
-    def finals(self, invite: Message) -> list[int]:
+    def final_statuses(self, invite: Message) -> list[int]:
         """All final statuses that the caller got to an INVITE."""
         return [
             m.status for _, m in self.sent
@@ -131,7 +131,7 @@
         ]  # fmt: skip
 
 
-def answer(to: Message, status: int, **headers: str) -> Message:
+def far_response(to: Message, status: int, **headers: str) -> Message:
     """A response of the far end."""
     message = response(to, status, f"far{to.call_id[:6]}")
     message.set("contact", "<sip:far@10.0.0.1>")
@@ -140,7 +140,7 @@
     return message
 
 
-def bye(of: Message, dialog: Message, cseq: int = 2, reason: str = "") -> Message:
+def caller_bye(of: Message, dialog: Message, cseq: int = 2, reason: str = "") -> Message:
     """The caller's BYE for the call of its INVITE `of`; `dialog` is the 200 that it got."""
     message = request(
         "BYE", "sip:x@10.0.0.9", via=f"SIP/2.0/TCP c;branch=z9hG4bKb{of.call_id}{cseq}",
@@ -152,7 +152,7 @@
 
 def far_bye(set_up: Message, reason: str = "", cseq: int = 1) -> Message:
     """The far end's BYE for a standing call, by the INVITE of its set-up."""
-    tagged = answer(set_up, 200)
+    tagged = far_response(set_up, 200)
     message = request(
         "BYE", "sip:x@10.0.0.9", via=f"SIP/2.0/TCP f;branch=z9hG4bKf{set_up.call_id[:9]}{cseq}",
         sender=tagged.get("to"), to=set_up.get("from"), call_id=set_up.call_id, cseq=cseq,
@@ -162,12 +162,12 @@
 
 
 def cancel_of(invite: Message) -> Message:
-    from eiderstep.sip.dialog import cancel
+    from eiderstep.sip.dialog import make_cancel
 
-    return cancel(invite)
+    return make_cancel(invite)
 
 
-def one(outgoing: list[tuple[int, Message]], what: str | int) -> Message:
+def only_message(outgoing: list[tuple[int, Message]], what: str | int) -> Message:
     """The only message with that method or status; fails if there is none or more than one."""
     found = [
         m for _, m in outgoing if what in (m.method, m.status) and (m.method or m.cseq_method == "INVITE")
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from eiderstep.audit import Capture, ColdStart, Facts, Stall, judge
-from eiderstep.sip.dialog import cancel
+from eiderstep.audit import Capture, ColdStart, Facts, Stall, audit_capture
+from eiderstep.sip.dialog import make_cancel
 from eiderstep.sip.message import Message, request, response
 
 SECOND, MS = 1_000_000_000, 1_000_000
@@ -51,7 +51,7 @@
         self.add(at, "in", response(self.invites[f"out-{name}-{attempt}"], status, "f"), f"to {office} #9")
 
     def cancel_sent(self, at: int, name: str, attempt: int = 1) -> None:
-        self.add(at, "out", cancel(self.invites[f"out-{name}-{attempt}"]), "to a:1 #9")
+        self.add(at, "out", make_cancel(self.invites[f"out-{name}-{attempt}"]), "to a:1 #9")
 
     def register_event(self, at: int, text: str) -> None:
         body = f"data: {text}\n\n".encode()
@@ -60,7 +60,7 @@
         self.capture.add(START + at * MS, "server-0", "register", "r:1", "in", head + chunk)
 
     def breaches(self, facts: Facts = FACTS) -> list[tuple[int, int, str]]:
-        found = judge(self.capture, facts).breaches
+        found = audit_capture(self.capture, facts).breaches
         return [(b.rule, (b.time - START) // MS, b.call) for b in found]
 
 
@@ -76,8 +76,13 @@
 
 
 def test_correct_capture_has_no_breach() -> None:
-    verdict = judge(correct_capture().capture, FACTS)
-    assert verdict.kept and (verdict.calls, verdict.answered, verdict.set_ups, verdict.stood) == (1, 1, 2, 1)
+    verdict = audit_capture(correct_capture().capture, FACTS)
+    assert verdict.passed and (verdict.calls, verdict.answered, verdict.set_ups, verdict.stood) == (
+        1,
+        1,
+        2,
+        1,
+    )
 
 
 def inject_breach(rule: int) -> tuple[CaptureBuilder, list[tuple[int, int, str]]]:
--- a/tests/test_circuits.py
+++ b/tests/test_circuits.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from eiderstep.engine.circuits import Ledger, read_ranges, within, write_ranges
+from eiderstep.engine.circuits import TrunkGroup, circuits_in_ranges, read_ranges, write_ranges
 
 
 @dataclass(eq=False)
@@ -30,7 +30,7 @@
 @settings(derandomize=True, max_examples=250, deadline=None)
 @given(STEPS, st.integers(0, 12), st.booleans())
 def test_whatever_happens_the_counts_are_exact(steps: list[tuple[str, int]], size: int, higher: bool) -> None:
-    ledger = Ledger(size, 5 if higher else 1, 3)
+    ledger = TrunkGroup(size, 5 if higher else 1, 3)
     holders: list[Holder] = []
     for what, pick in steps:
         circuits = {pick % max(size, 1), (pick // 7) % max(size, 1)}
@@ -75,7 +75,7 @@
 
 
 def test_removed_circuits_keep_their_calls_and_are_not_seized_again() -> None:
-    group = Ledger(6, 5, 3)
+    group = TrunkGroup(6, 5, 3)
     holders = [Holder() for _ in range(3)]
     for holder in holders:
         holder.circuits = group.seize(2, holder)
@@ -94,7 +94,7 @@
 def test_owner_gets_a_yielded_circuit_back_when_the_claimant_releases_it() -> None:
     # Guards against a circuit that is free here, after the claimant has released it, while the far end has
     # accepted the set-up of the earlier owner on it.
-    group = Ledger(2, 1, 3)  # the far end has the higher number and controls the even circuit
+    group = TrunkGroup(2, 1, 3)  # the far end has the higher number and controls the even circuit
     own_holder, far_holder = Holder(), Holder(seized_here=False)
     assert group.seize(2, own_holder) == (1, 0)
     assert group.claim([0], far_holder) == (True, [own_holder])
@@ -105,7 +105,7 @@
 
 
 def test_claim_takes_a_circuit_whose_release_is_not_answered_yet() -> None:
-    group = Ledger(2, 1, 3)
+    group = TrunkGroup(2, 1, 3)
     own_holder, far_holder = Holder(), Holder(seized_here=False)
     group.seize(1, own_holder)
     assert group.claim([1], far_holder) == (False, []), "this end controls circuit 1"
@@ -123,4 +123,4 @@
 
 @given(st.sets(st.integers(0, 60), min_size=1))
 def test_written_ranges_are_read_back(circuits: set[int]) -> None:
-    assert within(read_ranges(write_ranges(circuits)), 61) == circuits
+    assert circuits_in_ranges(read_ranges(write_ranges(circuits)), 61) == circuits
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -28,7 +28,7 @@
 
 def test_valid_settings_load_and_survive_a_dump() -> None:
     settings = load_text(VALID)
-    module = settings.module()
+    module = settings.decision_settings()
     assert module.classes[1].width == 3 and module.classes[0].aim == 1_200_000_000
     assert module.cold_time == 14_000_000_000 and settings.peers[1].address == "127.0.0.1:5063"
     assert load_text(dump(settings)) == settings
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -27,13 +27,13 @@
 def test_day_in_virtual_time(path: Path) -> None:
     day = script.load(path)
     result, _ = lab.play(day, 1, discard_log)
-    assert result.good, result.as_json()
-    unanswered = result.verdict.calls - result.verdict.answered
+    assert result.passed, result.as_json()
+    unanswered = result.audit_report.calls - result.audit_report.answered
     callers_may_disconnect = path.stem in ("own_troubles", "strangers")
     assert unanswered == 0 or callers_may_disconnect, (
         "only calls whose connection was closed, by the caller or by the server, may go unanswered"
     )
-    assert result.asks > 300 and not result.circuit_faults and not result.collapsed
+    assert result.offered_calls > 300 and not result.circuit_faults and not result.collapsed
     # The served worth is not a rule.  The bound is far below the usual values, so only broken routes miss it.
     assert result.service["whole"] > 0.4
 
@@ -42,7 +42,7 @@
 def test_bad_day_with_several_call_servers(servers: int) -> None:
     day = script.load(next(p for p in DAYS if p.stem == "bad_day"))
     result, _ = lab.play(day, 2, discard_log, tuple(range(servers)))
-    assert result.good, result.as_json()
+    assert result.passed, result.as_json()
     assert result.service["whole"] > 0.6, (
         "restarted exchanges must be used again; the value is 0.55 if they are not"
     )
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -19,15 +19,15 @@
 
 from eiderstep.config.load import ConfigError
 from eiderstep.lab import day as days
-from eiderstep.lab.clock import Endless, VirtualLoop
+from eiderstep.lab.clock import CallbackLimitExceeded, VirtualLoop
 from eiderstep.lab.emulator import rehearse as lab
 from eiderstep.lab.emulator.conditions import COMBINATIONS, Conditions
 from eiderstep.lab.emulator.hosts import Host
 from eiderstep.lab.emulator.scenario import Draws, Scenario, list_scenarios, load
 from eiderstep.lab.emulator.troubles import TROUBLES
-from eiderstep.lab.script import KINDS, MS, SECOND, Trouble
+from eiderstep.lab.script import MS, SECOND, TROUBLE_KINDS, Trouble
 from eiderstep.sip.message import split_address
-from eiderstep.standin.processor import SHAPES, Making, Processor, warmth
+from eiderstep.standin.processor import WARM_UP_SHAPES, Processor, ProcessorConfig, warm_up_progress
 
 ROOT = Path(__file__).resolve().parent.parent
 SCENARIOS = ROOT / "scenarios"
@@ -90,17 +90,17 @@
 def test_endless_run_is_stopped_at_the_same_callback_each_time() -> None:
     ends = []
     for _ in range(2):
-        loop = VirtualLoop(allowed=5000)
+        loop = VirtualLoop(max_callbacks=5000)
 
         async def forever() -> None:
             while True:
                 await asyncio.sleep(0.001)
 
-        with pytest.raises(Endless):
+        with pytest.raises(CallbackLimitExceeded):
             loop.run_until_complete(forever())
-        ends.append((loop.ran, loop.time()))
-        loop.allowed = 0
-        days.cancel_rest(loop)
+        ends.append((loop.callbacks_run, loop.time()))
+        loop.max_callbacks = 0
+        days.cancel_remaining_tasks(loop)
         loop.close()
     assert ends[0] == ends[1]
 
@@ -132,7 +132,7 @@
     loop: VirtualLoop, host: Host, received: list[tuple[float, bytes]], echoed: list[tuple[float, bytes]]
 ) -> Any:
     """Start an echo server on a host and connect to it; returns the client's transport."""
-    with host.on():
+    with host.as_current():
         server = await loop.create_server(lambda: Recorder(loop, received, True))
     transport, _ = await loop.create_connection(
         lambda: Recorder(loop, echoed, False), *server.sockets[0].getsockname()
@@ -148,9 +148,9 @@
     async def run(loop: VirtualLoop) -> None:
         host, other = Host(loop, "one"), Host(loop, "other")
         transport = await connect_to_echo_server(loop, host, received, echoed)
-        with host.on():
+        with host.as_current():
             loop.call_later(0.5, lambda: ticks.append(loop.time()))
-        with other.on():
+        with other.as_current():
             loop.call_later(0.5, lambda: ticks.append(loop.time()))
         began = loop.time()
         host.pause(3.0)
@@ -175,14 +175,14 @@
     received: list[tuple[float, bytes]] = []
 
     async def run(loop: VirtualLoop) -> None:
-        processor = Processor(Making(10.0), loop.time, lambda after, what: None, None)
+        processor = Processor(ProcessorConfig(10.0), loop.time, lambda after, what: None, None)
         host = Host(loop, "one", processor)
         transport = await connect_to_echo_server(loop, host, received, [])
         began = loop.time()
         for _ in range(5):
             transport.write(b"INVITE sip:x")
         ticks: list[float] = []
-        with host.on():
+        with host.as_current():
             loop.call_later(0.01, lambda: ticks.append(loop.time() - began))
         await asyncio.sleep(1)
         gaps = [
@@ -191,7 +191,7 @@
         ]
         assert gaps == [0.02] * 4, "reading an INVITE is a fifth of a set-up, which takes a tenth of a second"
         assert ticks == [pytest.approx(0.01)]
-        processor.slow = 10.0
+        processor.slow_factor = 10.0
         transport.write(b"INVITE sip:x")
         sent_at = loop.time()
         await asyncio.sleep(0.1)
@@ -199,10 +199,10 @@
         await asyncio.sleep(0.2)
         assert received[5][0] - sent_at == pytest.approx(0.2005, abs=0.001)
         await asyncio.sleep(1)  # the echoed INVITE is a set-up and therefore work too
-        processor.slow = 1.0
+        processor.slow_factor = 1.0
         host.hang(1.0)
         host.hang(0.5)  # ends before the first hang does
-        assert host.backlog() == pytest.approx(1.0)
+        assert host.queueing_delay() == pytest.approx(1.0)
         await asyncio.sleep(0.5)
         host.hang(1.0)
         transport.write(b"INVITE sip:x")
@@ -219,14 +219,14 @@
     received: list[tuple[float, bytes]] = []
 
     async def run(loop: VirtualLoop) -> None:
-        loop.at("here")
-        with Host(loop, "far").on():
+        loop.set_place("here")
+        with Host(loop, "far").as_current():
             server = await loop.create_server(lambda: Recorder(loop, received, False))
-        loop.at("there")
+        loop.set_place("there")
         transport, _ = await loop.create_connection(
             lambda: Recorder(loop, [], False), *server.sockets[0].getsockname()
         )
-        loop.network.losses["there", "here"] = 0.3
+        loop.network.loss_shares["there", "here"] = 0.3
         for n in range(200):
             transport.write(b"%03d" % n)
             await asyncio.sleep(0.01)
@@ -252,32 +252,35 @@
     begun = [(conditions.begin(1, kind, value), order) for kind, value, order in drawn]
     for kind, (_, default) in COMBINATIONS.items():
         if all(condition.kind != kind for condition, _ in begun):
-            assert conditions.of(1, kind) == default
+            assert conditions.combined_value(1, kind) == default
     for condition, _ in sorted(begun, key=lambda pair: pair[1]):
         conditions.end(condition)
         conditions.end(condition)
-    assert all(conditions.of(1, kind) == default for kind, (_, default) in COMBINATIONS.items())
+    assert all(conditions.combined_value(1, kind) == default for kind, (_, default) in COMBINATIONS.items())
 
 
 def test_conditions_of_one_kind_are_combined_by_its_rule() -> None:
     conditions = Conditions()
     first, second = conditions.begin(1, "slow", 3.0), conditions.begin(1, "slow", 4.0)
-    assert conditions.of(1, "slow") == 12.0 and conditions.of(2, "slow") == 1.0
+    assert conditions.combined_value(1, "slow") == 12.0 and conditions.combined_value(2, "slow") == 1.0
     conditions.end(first)
-    assert conditions.of(1, "slow") == 4.0
+    assert conditions.combined_value(1, "slow") == 4.0
     conditions.end(second)
     conditions.begin(1, "lose_answers", 0.5)
     conditions.begin(1, "lose_answers", 0.5)
     conditions.begin(1, "circuits", 0.2)
     conditions.begin(1, "circuits", 0.7)
-    assert conditions.of(1, "lose_answers") == 0.75 and conditions.of(1, "circuits") == 0.2
+    assert (
+        conditions.combined_value(1, "lose_answers") == 0.75
+        and conditions.combined_value(1, "circuits") == 0.2
+    )
     with pytest.raises(KeyError):
         conditions.begin(1, "no such thing")
 
 
-@pytest.mark.parametrize("shape", SHAPES)
+@pytest.mark.parametrize("shape", WARM_UP_SHAPES)
 def test_warm_up_rises_monotonically_from_cold_to_warm(shape: str) -> None:
-    steps = [warmth(shape, n / 50) for n in range(-5, 60)]
+    steps = [warm_up_progress(shape, n / 50) for n in range(-5, 60)]
     assert steps == sorted(steps) and steps[0] == 0 and steps[-1] == 1
 
 
@@ -287,20 +290,25 @@
         loop = VirtualLoop()
 
         async def run(loop: VirtualLoop) -> None:
-            processor = Processor(Making(10.0, first=first), loop.time, loop.call_later, None)  # type: ignore[arg-type]
+            processor = Processor(
+                ProcessorConfig(10.0, answers_first=first),
+                loop.time,
+                loop.call_later,  # type: ignore[arg-type]
+                None,
+            )
             for name in "abc":
-                processor.work(1.0, lambda name=name: done.append(name), set_up=True)  # type: ignore[misc]
-            unwanted = processor.work(1.0, lambda: done.append("dropped"), set_up=True)
-            processor.work(0.5, lambda: done.append("answer"), first=True)
-            assert processor.set_ups() == 3 and processor.wait() == pytest.approx(0.35)
+                processor.enqueue(1.0, lambda name=name: done.append(name), set_up=True)  # type: ignore[misc]
+            unwanted = processor.enqueue(1.0, lambda: done.append("dropped"), set_up=True)
+            processor.enqueue(0.5, lambda: done.append("answer"), first=True)
+            assert processor.queued_set_ups() == 3 and processor.queue_wait() == pytest.approx(0.35)
             processor.drop(unwanted)
-            assert processor.set_ups() == 2 and processor.wait() == pytest.approx(0.25)
+            assert processor.queued_set_ups() == 2 and processor.queue_wait() == pytest.approx(0.25)
             await asyncio.sleep(0.05)
             processor.hung = True
             await asyncio.sleep(5)
             assert done == []
             processor.hung = False
-            processor.next()
+            processor.start_next()
             began = loop.time()
             while len(done) < 4:
                 await asyncio.sleep(0.01)
@@ -317,7 +325,7 @@
 
 def test_ageing_processor_halves_its_capacity_per_doubling_time() -> None:
     now = [0.0]
-    processor = Processor(Making(100.0), lambda: now[0], lambda after, what: None, None)
+    processor = Processor(ProcessorConfig(100.0), lambda: now[0], lambda after, what: None, None)
     processor.ageing = (0.0, 5.0)
     assert [round(processor.capacity(), 1) for now[0] in (0.0, 5.0, 15.0)] == [100.0, 50.0, 12.5]
 
@@ -380,7 +388,7 @@
             for name, among in draws.ranges.items():
                 if not among.choices:
                     assert among.low <= draws.drawn[name] <= among.high
-    assert kinds == set(KINDS) == set(TROUBLES)
+    assert kinds == set(TROUBLE_KINDS) == set(TROUBLES)
 
 
 def test_exchanges_drawn_for_a_trouble_stay_when_another_trouble_is_left_out() -> None:
@@ -417,22 +425,26 @@
     another one that still lasts or leave its own value behind.
     """
     rng = Random(seed)
-    kinds = sorted(set(KINDS) - {"half_open"})
+    kinds = sorted(set(TROUBLE_KINDS) - {"half_open"})
     chosen = [kinds[(seed * 7 + i) % len(kinds)] for i in range(7)] + rng.sample(kinds, 2)
     plan, _ = load(short, seed)
     fleet = replace(plan.fleet, list_from="registry" if "registry_lie" in chosen else "register")
     plan = replace(plan, fleet=fleet, troubles=overlapping_troubles(chosen, rng), length=8 * SECOND)
-    result, _ = days.play(plan, seed, lambda *_: None, (0, 1) if seed % 2 else (0,), allowed=4_000_000)
-    assert result.good, (chosen, result.as_json())
+    result, _ = days.play(plan, seed, lambda *_: None, (0, 1) if seed % 2 else (0,), max_callbacks=4_000_000)
+    assert result.passed, (chosen, result.as_json())
     world = result.world
     assert world is not None
     assert all(not active for active in world.conditions.active.values())
     for exchange in world.exchanges.values():
-        assert exchange.processor.slow == 1.0 and not exchange.processor.hung
-        assert exchange.faults.lose_answers == 0.0 and not exchange.faults.mute and not exchange.faults.hot
+        assert exchange.processor.slow_factor == 1.0 and not exchange.processor.hung
+        assert (
+            exchange.faults.lost_answer_share == 0.0
+            and not exchange.faults.mute
+            and not exchange.faults.line_limits
+        )
     assert not any(p.drop or p.refuse or p.delay for p in world.proxies.values())
-    assert isinstance(world.loop, VirtualLoop) and not world.loop.network.losses
-    assert all(share == 1.0 for share in world.kept.values())
+    assert isinstance(world.loop, VirtualLoop) and not world.loop.network.loss_shares
+    assert all(share == 1.0 for share in world.circuit_shares.values())
 
 
 def test_overlapping_traffic_shifts_end_independently(short: Path, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -442,12 +454,12 @@
     samples: list[tuple[float, int]] = []
 
     class SamplingPlayer(days.Player):
-        def _sample(self) -> None:
-            super()._sample()
-            samples.append((self.loop.time() - self.world.began, len(self.shifts)))
+        def _record_sample(self) -> None:
+            super()._record_sample()
+            samples.append((self.loop.time() - self.world.started_at, len(self.shifts)))
 
     monkeypatch.setattr(days, "Player", SamplingPlayer)
-    assert days.play(plan, 1, lambda *_: None)[0].good
+    assert days.play(plan, 1, lambda *_: None)[0].passed
     assert [count for at, count in samples if round(at, 3) in (0.0, 1.5, 2.5, 3.5, 5.5)] == [0, 1, 2, 1, 0]
 
 
@@ -457,13 +469,13 @@
     pause = Trouble(kind="server_pause", at=2 * SECOND, lasts=4 * SECOND, exchanges=[1])
     plan = replace(plan, troubles=[pause], length=10 * SECOND)
     result, capture = days.play(plan, 2, lambda *_: None, (0, 1, 2))
-    assert result.good, result.as_json()
+    assert result.passed, result.as_json()
     assert result.world is not None
-    began = result.world.began
+    began = result.world.started_at
     (stall,) = result.world.stalls
     assert stall.node == "server-1"
     during_pause = [
-        r for r in capture if r.way in ("in", "out") and began + 2.01 < r.time / SECOND < began + 5.99
+        r for r in capture if r.event in ("in", "out") and began + 2.01 < r.time / SECOND < began + 5.99
     ]
     assert {r.node for r in during_pause} == {"server-0", "server-2"}
 
@@ -473,8 +485,8 @@
     restart = Trouble(kind="restart", at=2 * SECOND, lasts=1 * SECOND, exchanges=[1])
     plan = replace(plan, troubles=[restart], length=10 * SECOND)
     result, capture = days.play(plan, 2, lambda *_: None, (0, 1))
-    assert result.good, result.as_json()
-    assert [r.node for r in capture if r.way == "killed"] == ["server-1"]
+    assert result.passed, result.as_json()
+    assert [r.node for r in capture if r.event == "killed"] == ["server-1"]
     assert sum(r.node == "server-1.1" and "SIP/2.0 200" in r.data for r in capture) > 10
 
 
@@ -501,7 +513,7 @@
 def test_failed_expectations_are_listed(short: Path) -> None:
     short.write_text(SHORT.replace("least = 0.1", "least = 0.1, most = 0.2"))
     rehearsal = lab.rehearse(short, 1)
-    assert rehearsal.result.good and not rehearsal.good
+    assert rehearsal.result.passed and not rehearsal.passed
     ((expect, value),) = rehearsal.failed
     assert expect.what == "service" and value > 0.2
 
--- a/tests/test_eureka.py
+++ b/tests/test_eureka.py
@@ -30,19 +30,19 @@
 from eiderstep.config.schema import Lease, Registry, Tls
 from eiderstep.interface import ListKind, OfficeEntry, OfficeState
 from eiderstep.lab import day as lab
-from eiderstep.lab import polling, script
+from eiderstep.lab import registry_cost, script
 from eiderstep.lab.clock import VirtualLoop
-from eiderstep.lab.registry import APP, EurekaSite
+from eiderstep.lab.registry import APP_NAME, StandinRegistry
 from eiderstep.registry import view as view_module
 from eiderstep.registry.client import RegistryClient
-from eiderstep.registry.http import Failed, Link, Times
+from eiderstep.registry.http import HttpClient, RequestFailed, RequestTimeouts
 from eiderstep.registry.lease import LeaseState
-from eiderstep.registry.pace import Ask
+from eiderstep.registry.poll_schedule import PollKind
 from eiderstep.registry.registrant import Registrant
 from eiderstep.registry.table import Snapshot
-from eiderstep.server.node import CallServer
-from eiderstep.standin.eureka import Record, Table
-from eiderstep.standin.eureka_wire import HTML, LIES, Eureka
+from eiderstep.server.call_server import CallServer
+from eiderstep.standin.eureka import InstanceRecord, LeaseTable
+from eiderstep.standin.eureka_server import HTML, REGISTRY_FAULTS, EurekaServer
 from eiderstep.standin.register import Entry
 
 SECOND = 1_000_000_000
@@ -65,7 +65,7 @@
     """A client of a two-peer registry with six exchanges, and the list that the routing module would hold."""
 
     def __init__(self, loop: VirtualLoop, **settings: Any) -> None:
-        self.loop, self.site, self.settings = loop, EurekaSite(loop, 0.0), settings
+        self.loop, self.site, self.settings = loop, StandinRegistry(loop, 0.0), settings
         self.states: dict[int, str] = {}
         self.kinds: list[ListKind] = []
         self.notes: list[dict[str, Any]] = []
@@ -74,9 +74,9 @@
     async def start(self) -> None:
         await self.site.listen()
         for number in range(1, 7):
-            self.site.preset(Entry(f"127.0.0.1:{7000 + number}", number, zone=number % 3))
+            self.site.add_running(Entry(f"127.0.0.1:{7000 + number}", number, zone=number % 3))
         defaults: dict[str, Any] = {"poll": SECOND, "full_every": 0}
-        settings = Registry(addresses=self.site.addresses, app=APP, **defaults | self.settings)
+        settings = Registry(addresses=self.site.addresses, app=APP_NAME, **defaults | self.settings)
         self.client = RegistryClient(
             self.loop, settings, self.on_update,
             lambda event, fields: self.notes.append({"event": event} | fields),
@@ -95,7 +95,9 @@
                 del self.states[entry.number]
 
     def change(self, number: int, state: str) -> None:
-        self.site.change(Entry(f"127.0.0.1:{7000 + number}", number, state, self.loop.time(), number % 3))
+        self.site.update_exchange(
+            Entry(f"127.0.0.1:{7000 + number}", number, state, self.loop.time(), number % 3)
+        )
 
     def notes_of(self, event: str) -> list[dict[str, Any]]:
         return [note for note in self.notes if note["event"] == event]
@@ -131,8 +133,10 @@
         started = rig.client.view.reported["127.0.0.1:7003"].started
         assert 2 <= loop.time() - started / SECOND <= 5, "the start time is computed by the registry's clock"
         if settings.get("ask", "all") == "all":
-            polls = rig.client.polls
-            assert polls[Ask.FULL] <= 2 < polls[Ask.DELTA], "after the first full list it requests deltas"
+            polls = rig.client.poll_counts
+            assert polls[PollKind.FULL] <= 2 < polls[PollKind.DELTA], (
+                "after the first full list it requests deltas"
+            )
         rig.stop()
 
     run_virtual(run)
@@ -142,12 +146,12 @@
     async def run(loop: VirtualLoop) -> None:
         rig = RegistryRig(loop, ask="app", follow=1)
         await rig.start()
-        rig.site._beat = lambda: None  # type: ignore[method-assign]  # no renewal changes the ETag
+        rig.site._renew_leases = lambda: None  # type: ignore[method-assign]  # no renewal changes the ETag
         await asyncio.sleep(4)
-        before = rig.client.bytes[Ask.FULL], rig.client.polls[Ask.FULL]
+        before = rig.client.received_bytes[PollKind.FULL], rig.client.poll_counts[PollKind.FULL]
         await asyncio.sleep(10)
-        polls = rig.client.polls[Ask.FULL] - before[1]
-        assert polls >= 7 and (rig.client.bytes[Ask.FULL] - before[0]) / polls < 200
+        polls = rig.client.poll_counts[PollKind.FULL] - before[1]
+        assert polls >= 7 and (rig.client.received_bytes[PollKind.FULL] - before[0]) / polls < 200
         assert rig.states == SIX_UP
         rig.stop()
 
@@ -168,13 +172,13 @@
     async def run(loop: VirtualLoop) -> None:
         rig = RegistryRig(loop, dial=SECOND, silence=SECOND, whole=3 * SECOND)
         await rig.start()
-        rig.site.lie(lie, [], [])
+        rig.site.give_wrong_answers(lie, [], [])
         await asyncio.sleep(20)
         rig.change(6, "up")  # a change during the fault
         await asyncio.sleep(40)
         assert rig.states == SIX_UP
         assert any(TOLERATED_LIES[lie] in json.dumps(note) for note in rig.notes), rig.notes
-        rig.site.lie("", [], [])
+        rig.site.give_wrong_answers("", [], [])
         rig.change(4, "gone")
         await asyncio.sleep(7)
         assert rig.states == {number: state for number, state in SIX_UP.items() if number != 4}
@@ -189,16 +193,16 @@
     async def run(loop: VirtualLoop) -> None:
         rig = RegistryRig(loop)
         await rig.start()
-        rig.site.lie("drops_living", [2], [0])
+        rig.site.give_wrong_answers("drops_living", [2], [0])
         await asyncio.sleep(3)
         assert 2 not in rig.states, "a departure that one registry reports takes effect"
-        rig.site.lie("", [], [])
+        rig.site.give_wrong_answers("", [], [])
         await asyncio.sleep(30)
         assert rig.states == SIX_UP, "lease renewals bring the exchange back"
-        rig.site.lie("unnamed", [3], [])
+        rig.site.give_wrong_answers("unnamed", [3], [])
         rig.change(1, "draining")  # a change, so that the responses differ
         await asyncio.sleep(15)
-        rig.site.lie("lists_gone", [], [0])
+        rig.site.give_wrong_answers("lists_gone", [], [0])
         rig.change(4, "gone")
         await asyncio.sleep(3)
         assert 4 not in rig.states, "a departure takes effect although only one of two registries reports it"
@@ -211,7 +215,7 @@
     async def run(loop: VirtualLoop) -> None:
         rig = RegistryRig(loop, follow=1)
         await rig.start()
-        rig.site.lie("restart", [], [])
+        rig.site.give_wrong_answers("restart", [], [])
         for _ in range(40):
             await asyncio.sleep(0.25)
             assert rig.states == SIX_UP
@@ -227,7 +231,7 @@
     async def run(loop: VirtualLoop) -> None:
         rig = RegistryRig(loop)
         await rig.start()
-        rig.site.died(5)
+        rig.site.exchange_died(5)
         await asyncio.sleep(4)
         assert rig.states == SIX_UP, "the exchange stays listed while its lease lasts"
         await asyncio.sleep(8)
@@ -243,7 +247,7 @@
         await rig.start()
         await asyncio.sleep(30)
         rig.site.peers[0].close()
-        rig.site.peers[0].tell_lies("refuse")
+        rig.site.peers[0].set_fault("refuse")
         rig.change(1, "gone")  # registered at the other peer, as its number is odd
         await asyncio.sleep(3)
         assert 1 not in rig.states and len(rig.site.peers[1].requests) > 0
@@ -253,7 +257,7 @@
 
 
 def test_polls_of_sixty_call_servers_are_spread_evenly() -> None:
-    rate = polling.crowd(seed=4, silent=30, others=0)
+    rate = registry_cost.simulate_outage(seed=4, outage_seconds=30, other_instances=0)
     assert rate["late"] == 0, "every call server has the new list"
     assert rate["calm peak"] <= 2.5 * rate["calm mean"]
     assert rate["return peak"] <= 2.5 * rate["calm mean"] and rate["return mean"] <= 1.2 * rate["calm mean"]
@@ -265,10 +269,10 @@
 
 def test_own_registration_from_start_to_orderly_stop() -> None:
     async def run(loop: VirtualLoop) -> None:
-        site = EurekaSite(loop, 0.0)
+        site = StandinRegistry(loop, 0.0)
         await site.listen()
         lease = Lease(app="CALLS", id="s0", renew=2, duration=6, metadata={"district": "1"})
-        settings = Registry(addresses=site.addresses, app=APP, lease=lease)
+        settings = Registry(addresses=site.addresses, app=APP_NAME, lease=lease)
         notes: list[dict[str, Any]] = []
         registrant = Registrant(
             loop, settings, "127.0.0.1:5060", 9, lambda event, fields: notes.append(fields), Random(1),
@@ -286,22 +290,24 @@
         site.tables[0].restart()
         await asyncio.sleep(3)
         after = site.tables[0].leases["CALLS", "s0"]
-        assert after.dirty > before.dirty, "it registers again after the registry lost the entry"
-        site.peers[0].tell_lies("storm")
+        assert after.dirty_timestamp > before.dirty_timestamp, (
+            "it registers again after the registry lost the entry"
+        )
+        site.peers[0].set_fault("storm")
         await asyncio.sleep(5)
         assert registrant.lease.state is LeaseState.HELD and site.peers[1].requests, (
             "after 503 the next address is used"
         )
         assert await registrant.send(registrant.lease.override_request("OUT_OF_SERVICE")) == 200
-        assert site.tables[1].leases["CALLS", "s0"].shown == "OUT_OF_SERVICE"
+        assert site.tables[1].leases["CALLS", "s0"].effective_status == "OUT_OF_SERVICE"
         assert await registrant.send(registrant.lease.override_request("")) == 200
-        registrant.leave()
+        registrant.begin_leaving()
         await asyncio.sleep(1)
         assert site.tables[1].leases["CALLS", "s0"].status == "DOWN", (
             "DOWN is registered before the entry is cancelled"
         )
-        registrant.cancel()
-        await registrant.over
+        registrant.allow_removal()
+        await registrant.finished
         assert ("CALLS", "s0") not in site.tables[1].leases
         site.close()
 
@@ -310,9 +316,9 @@
 
 def test_call_server_registers_at_start_and_deregisters_at_stop() -> None:
     async def run(loop: VirtualLoop) -> None:
-        site = EurekaSite(loop, 0.0)
+        site = StandinRegistry(loop, 0.0)
         await site.listen()
-        site.preset(Entry("127.0.0.1:7001", 1))
+        site.add_running(Entry("127.0.0.1:7001", 1))
         text = SETTINGS.replace("{one}", site.addresses[0]).replace("{two}", site.addresses[1])
         events: list[str] = []
         server = CallServer(loop, load_text(text), lambda level, event, call, fields: events.append(event))
@@ -320,11 +326,14 @@
         await asyncio.sleep(1)
         entry = site.tables[0].leases["C", "s0"]
         assert (entry.status, f"{entry.host}:{entry.port}") == ("UP", server.address)
-        assert server.lists.registry is not None and server.lists.registry.view.complete_reported
+        assert (
+            server.exchange_lists.registry is not None
+            and server.exchange_lists.registry.view.complete_reported
+        )
         statuses: list[str] = []
         original_register = site.tables[0].register
 
-        def register(record: Record, replicated: bool = False) -> None:
+        def register(record: InstanceRecord, replicated: bool = False) -> None:
             statuses.append(record.status)
             original_register(record, replicated)
 
@@ -340,13 +349,13 @@
 
 def test_stop_does_not_wait_for_an_unreachable_registry() -> None:
     async def run(loop: VirtualLoop) -> None:
-        site = EurekaSite(loop, 0.0)
+        site = StandinRegistry(loop, 0.0)
         await site.listen()
         text = SETTINGS.replace("{one}", site.addresses[0]).replace("{two}", site.addresses[1])
         server = CallServer(loop, load_text(text), lambda *_: None)
         await server.start()
         await asyncio.sleep(1)
-        site.lie("silence", [], [])
+        site.give_wrong_answers("silence", [], [])
         stop_started = loop.time()
         server.stop()
         await server.stopped
@@ -413,10 +422,10 @@
     async def run(loop: VirtualLoop) -> None:
         server = await loop.create_server(lambda: FixedResponder(response))
         host, port = server.sockets[0].getsockname()
-        link = Link(loop, f"{host}:{port}", Times(1, 1, 5))
+        link = HttpClient(loop, f"{host}:{port}", RequestTimeouts(1, 1, 5))
         sink = LimitedSink()
-        with pytest.raises(Failed, match=message):
-            await link.ask("GET", "/", {}, open_sink=lambda status, headers: sink)
+        with pytest.raises(RequestFailed, match=message):
+            await link.request("GET", "/", {}, open_sink=lambda status, headers: sink)
         assert sink.received <= (1 << 20) + (1 << 16), "the body is not decompressed beyond the sink's limit"
 
     run_virtual(run)
@@ -427,12 +436,12 @@
         response = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
         server = await loop.create_server(lambda: FixedResponder(response, close_after=True))
         host, port = server.sockets[0].getsockname()
-        link = Link(loop, f"{host}:{port}", Times(1, 1, 5))
+        link = HttpClient(loop, f"{host}:{port}", RequestTimeouts(1, 1, 5))
         for _ in range(3):
-            assert (await link.ask("GET", "/", {})).status == 200
+            assert (await link.request("GET", "/", {})).status == 200
         server.close()
-        with pytest.raises(Failed, match="could not connect"):
-            await link.ask("GET", "/", {})
+        with pytest.raises(RequestFailed, match="could not connect"):
+            await link.request("GET", "/", {})
 
     run_virtual(run)
 
@@ -481,22 +490,22 @@
 
     async def run() -> None:
         loop = asyncio.get_running_loop()
-        table = Table(loop, lambda: int(loop.time() * 1000))
-        server = Eureka(loop, table)
+        table = LeaseTable(loop, lambda: int(loop.time() * 1000))
+        server = EurekaServer(loop, table)
         context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
         context.load_cert_chain(tmp_path / "server.pem", tmp_path / "server.key")
         context.load_verify_locations(tmp_path / "ca.pem")
         context.verify_mode = ssl.CERT_REQUIRED
         await server.listen(context)
         metadata = {"exchange": "1", "district": "0", "started": "1"}
-        table.register(Record(APP, "x1", "127.0.0.1", 7001, metadata))
+        table.register(InstanceRecord(APP_NAME, "x1", "127.0.0.1", 7001, metadata))
 
         async def follow_with(ca: str, cert: str) -> str:
             certificate = (
                 {"cert": str(tmp_path / f"{cert}.pem"), "key": str(tmp_path / f"{cert}.key")} if cert else {}
             )
             tls = Tls(ca=str(tmp_path / f"{ca}.pem"), **certificate)
-            settings = Registry(addresses=[server.address], app=APP, follow=1, tls=tls)
+            settings = Registry(addresses=[server.address], app=APP_NAME, follow=1, tls=tls)
             outcome: asyncio.Future[str] = loop.create_future()
 
             def set_outcome(text: str) -> None:
@@ -537,13 +546,13 @@
 
     async def run() -> None:
         loop = asyncio.get_running_loop()
-        site = EurekaSite(loop, 0.0)
+        site = StandinRegistry(loop, 0.0)
         await site.listen()
         for n in (1, 2):
-            site.preset(Entry(f"127.0.0.1:{7000 + n}", n))
-        site.peers[1].tell_lies("html")
+            site.add_running(Entry(f"127.0.0.1:{7000 + n}", n))
+        site.peers[1].set_fault("html")
         for table in site.tables:
-            table.register(Record("C", "s0", "127.0.0.1", 5060))
+            table.register(InstanceRecord("C", "s0", "127.0.0.1", 5060))
         text = SETTINGS.replace("{one}", site.addresses[0]).replace("{two}", site.addresses[1])
         path.write_text(text)
 
@@ -566,11 +575,11 @@
         code, out, err = await run_command("show", str(path))
         assert code == 0 and "exchange 2 at 127.0.0.1:7002 UP: listed" in out, out + err
         code, out, err = await run_command("status", str(path), "OUT_OF_SERVICE")
-        assert code == 0 and site.tables[0].leases["C", "s0"].shown == "OUT_OF_SERVICE", out + err
+        assert code == 0 and site.tables[0].leases["C", "s0"].effective_status == "OUT_OF_SERVICE", out + err
         code, out, err = await run_command("status", str(path), "AWAY")
         assert code == 2 and "allowed: UP" in err
         for peer in site.peers:
-            peer.tell_lies("refuse")
+            peer.set_fault("refuse")
         code, out, err = await run_command("show", str(path))
         assert code == 1 and "no answer" in out
         site.close()
@@ -630,7 +639,7 @@
     monkeypatch.setattr(view_module.View, "previously_up", {}, raising=False)
     monkeypatch.setattr(view_module.View, "on_snapshot", delayed_on_snapshot)
     result, _ = lab.play(scenario, 1, lambda *_: None)
-    assert {breach.rule for breach in result.verdict.breaches} == {3}
+    assert {breach.rule for breach in result.audit_report.breaches} == {3}
     assert result.departures["worst_ms"] > 500
 
 
@@ -638,4 +647,4 @@
     used = {
         trouble.lie for path in (ROOT / "days").glob("*.star") for trouble in script.load(path).troubles
     } - {""}
-    assert used | {"silence"} == set(LIES) and HTML
+    assert used | {"silence"} == set(REGISTRY_FAULTS) and HTML
