--- a/tests/test_experiment.py
+++ b/tests/test_experiment.py
@@ -20,16 +20,16 @@
 from eiderstep.audit import Capture
 from eiderstep.cli import app
 from eiderstep.lab import traces
-from eiderstep.lab.clock import Endless
+from eiderstep.lab.clock import CallbackLimitExceeded
 from eiderstep.lab.emulator import bound as lp
 from eiderstep.lab.emulator import rehearse as lab
 from eiderstep.lab.emulator.samples import Sample
 from eiderstep.lab.emulator.scenario import Range, load
 from eiderstep.lab.experiment.compare import compare, difference, rank_correlations
-from eiderstep.lab.experiment.hunt import BROKEN, Hunt, badness
-from eiderstep.lab.experiment.report import page
-from eiderstep.lab.experiment.runner import Grid, run, run_job
-from eiderstep.lab.experiment.store import Job, Results, Run, StoreError, code_version
+from eiderstep.lab.experiment.hunt import BROKEN_BADNESS, Hunt, badness
+from eiderstep.lab.experiment.report import render_page
+from eiderstep.lab.experiment.runner import Grid, run_grid, run_job
+from eiderstep.lab.experiment.store import Job, ResultStore, Run, StoreError, code_version
 from tests.test_emulator import SHORT
 
 WHEN = "2026-01-01T00:00:00+00:00"
@@ -95,12 +95,12 @@
 
 
 def test_service_of_module_and_baselines_does_not_exceed_the_bound(folder: Path) -> None:
-    from eiderstep.lab.baselines import MINDS
+    from eiderstep.lab.baselines import DECISION_MODULES
 
     services: dict[str, float] = {}
-    for mind in MINDS:
+    for mind in DECISION_MODULES:
         scenario, draws = load(folder / "traffic" / "short.star", 1, {"rate": 12, "factor": 40.0})
-        rehearsal, _ = lab.play(scenario, draws, mind=MINDS[mind])
+        rehearsal, _ = lab.play(scenario, draws, controller_factory=DECISION_MODULES[mind])
         assert rehearsal.bound is not None and rehearsal.measures["service"] <= rehearsal.bound + 0.02
         services[mind] = rehearsal.measures["service"]
     assert len(set(services.values())) == 3, "each decision module must give a different service"
@@ -111,25 +111,25 @@
 
 def test_resumed_experiment_has_the_results_of_an_uninterrupted_one(tmp_path: Path, folder: Path) -> None:
     grid = Grid(str(folder), seeds=(1, 2, 3), settings=[{}, {"factor": 40.0}])
-    uninterrupted, resumed = Results(tmp_path / "whole.db"), Results(tmp_path / "parts.db")
-    assert run(uninterrupted, "x", grid, 3, WHEN) == 6
-    assert run(resumed, "x", grid, 1, WHEN, max_plays=2) == 2
+    uninterrupted, resumed = ResultStore(tmp_path / "whole.db"), ResultStore(tmp_path / "parts.db")
+    assert run_grid(uninterrupted, "x", grid, 3, WHEN) == 6
+    assert run_grid(resumed, "x", grid, 1, WHEN, max_plays=2) == 2
     resumed.close()
-    resumed = Results(tmp_path / "parts.db")
+    resumed = ResultStore(tmp_path / "parts.db")
     done_counts: list[int] = []
-    assert run(resumed, "x", grid, 2, "later", lambda _, done, of: done_counts.append(done)) == 4
+    assert run_grid(resumed, "x", grid, 2, "later", lambda _, done, of: done_counts.append(done)) == 4
     assert done_counts == [3, 4, 5, 6]
-    assert run(resumed, "x", grid, 2, "later") == 0, "all jobs must be completed already"
+    assert run_grid(resumed, "x", grid, 2, "later") == 0, "all jobs must be completed already"
 
-    def outcomes(results: Results) -> list[Any]:
+    def outcomes(results: ResultStore) -> list[Any]:
         return [(r.job, r.result["digest"], r.service) for r in results.runs("x")]
 
     assert outcomes(uninterrupted) == outcomes(resumed) and len(outcomes(uninterrupted)) == 6
     with pytest.raises(StoreError, match="another plan"):
-        run(resumed, "x", replace(grid, seeds=(1,)), 1, WHEN)
+        run_grid(resumed, "x", replace(grid, seeds=(1,)), 1, WHEN)
     with pytest.raises(StoreError, match="allowed: x"):
         list(resumed.runs("y"))
-    text = page("x", list(resumed.runs("x")))
+    text = render_page("x", list(resumed.runs("x")))
     assert "<svg" in text and "traffic/short" in text
     assert not re.search(r"(src|href)=.http|@import|url\(http", text), (
         "the page must not load anything from the network"
@@ -147,10 +147,10 @@
     os.killpg(child.pid, signal.SIGKILL)  # only this process and its worker
     child.wait()
     child.stdout.close()
-    results = Results(store)
+    results = ResultStore(store)
     before = {r.job.seed: r.result["digest"] for r in results.runs("k")}
     assert len(first_lines) == 2 and 2 <= len(before) < 6
-    assert run(results, "k", Grid(str(folder), seeds=(1, 2, 3, 4, 5, 6)), 2, "later") == 6 - len(before)
+    assert run_grid(results, "k", Grid(str(folder), seeds=(1, 2, 3, 4, 5, 6)), 2, "later") == 6 - len(before)
     after = {r.job.seed: r.result["digest"] for r in results.runs("k")}
     assert len(after) == 6 and all(after[seed] == digest for seed, digest in before.items())
     job = next(j for j in Grid(str(folder), seeds=(1,)).jobs())
@@ -161,13 +161,13 @@
     path = tmp_path / "bad.db"
     path.write_bytes(b"this is no database" * 100)
     with pytest.raises(StoreError, match="bad.db"):
-        Results(path)
+        ResultStore(path)
     other = tmp_path / "other.db"
     db = sqlite3.connect(other)
     db.execute("PRAGMA user_version=99")
     db.close()
     with pytest.raises(StoreError, match="found format 99; allowed: 1"):
-        Results(other)
+        ResultStore(other)
 
 
 def test_job_that_fails_or_does_not_end_is_a_result_of_its_run(folder: Path) -> None:
@@ -177,11 +177,11 @@
     unknown_draw = run_job(str(folder), replace(job, fixed={"speed": 1}), code)
     assert unknown_draw.status == "failed" and "allowed: factor, lasts, rate" in unknown_draw.result["why"]
     endless = run_job(str(folder), job, code, max_callbacks=500)
-    assert endless.status == "endless" and badness(endless)[0] > BROKEN
+    assert endless.status == "endless" and badness(endless)[0] > BROKEN_BADNESS
     with pytest.raises(ValueError, match="allowed: traffic/short"):
         list(Grid(str(folder), ["nothing"]).jobs())
     scenario, draws = load(folder / "traffic" / "short.star", 1)
-    with pytest.raises(Endless):
+    with pytest.raises(CallbackLimitExceeded):
         lab.play(scenario, draws, max_callbacks=500)
 
 
@@ -220,7 +220,7 @@
 )  # fmt: skip
 def test_broken_rule_or_leftover_is_worse_than_any_gap(changes: dict[str, Any], why: str) -> None:
     bad, reason = badness(completed_run(0.9, **changes))
-    assert bad >= BROKEN and reason == why and badness(completed_run(0.0))[0] == 1.0
+    assert bad >= BROKEN_BADNESS and reason == why and badness(completed_run(0.0))[0] == 1.0
 
 
 @pytest.mark.parametrize(
@@ -234,7 +234,7 @@
     if what == "failed":
         value = [{"what": "it broke here", "found": 0.1}]
     run = completed_run(0.5, measures=measures, good=False, **{what: value})
-    text = page("x", [run, Run(run.job, "code", "endless", {"why": "for ever"})])
+    text = render_page("x", [run, Run(run.job, "code", "endless", {"why": "for ever"})])
     assert (f"3 {what.replace('_', ' ')}" if value == 3 else "it broke here") in text and "for ever" in text
 
 
@@ -262,7 +262,7 @@
     assert worst.badness > 0.6 and worst.draws["shape"] == "b"
     found = hunt.shrink(worst)
     assert found.job.without == (0,) and found.draws["noise"] < 0.2
-    assert found.badness >= 0.8 * worst.badness and found.played > 60
+    assert found.badness >= 0.8 * worst.badness and found.play_count > 60
 
 
 def test_hunt_finds_planted_breach_and_leaves_out_unrelated_trouble(
@@ -290,7 +290,7 @@
     _, draws = load(path, 1)
     hunt = Hunt(lambda jobs: [run_job(str(folder), job, "planted") for job in jobs], draws.ranges, 2, 1)
     found = hunt.shrink(hunt.search(next(Grid(str(folder)).jobs()), 6, 2))
-    assert found.badness >= BROKEN and found.why == "rule 1"
+    assert found.badness >= BROKEN_BADNESS and found.reason == "rule 1"
     assert found.job.without == (1,), "the delay to exchange 2 must be left out"
 
 
@@ -300,7 +300,7 @@
 def test_path_of_a_call_through_two_servers_as_ladder_and_spans(tmp_path: Path, folder: Path) -> None:
     scenario, draws = load(folder / "traffic" / "short.star", 1)
     _, capture = lab.play(scenario, draws, servers=0)
-    paths = traces.paths(capture)
+    paths = traces.call_paths(capture)
     assert len(paths) > 20
     path = next(
         p
@@ -322,8 +322,8 @@
     roots = [s for s in by_id.values() if s["parent_id"] is None]
     assert len(roots) == 1 and all(s["parent_id"] in by_id for s in by_id.values() if s["parent_id"])
     with pytest.raises(ValueError, match="no call"):
-        traces.chosen(paths, "zzzz")
-    assert traces.chosen(paths, path.session[:12]) is path
+        traces.find_call(paths, "zzzz")
+    assert traces.find_call(paths, path.session[:12]) is path
 
 
 def test_experiment_rehearse_and_trace_commands(tmp_path: Path, folder: Path) -> None:
@@ -341,7 +341,7 @@
     path = str(folder / "traffic" / "short.star")
     done = cli.invoke(app, ["rehearse", path, "--set", "factor=40", "--keep", str(kept), "--profile"])
     assert done.exit_code == 0 and "factor 40" in done.output and "module" in done.output, done.output
-    call = next(iter(traces.paths(Capture.read(kept / "capture.jsonl"))))
+    call = next(iter(traces.call_paths(Capture.read(kept / "capture.jsonl"))))
     done = cli.invoke(app, ["trace", call, "--capture", str(kept / "capture.jsonl")])
     assert done.exit_code == 0 and f"call {call}" in done.output
     assert cli.invoke(app, ["trace", "zzzz", "--capture", str(kept / "capture.jsonl")]).exit_code == 2
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -40,13 +40,13 @@
 def test_redials_past_their_aim_leave_the_reserve_free() -> None:
     server = Rig(rig.build_settings(), numbers=(0, 1))
     server.report_circuits(1, free=0)
-    server.offer_call(0, number="n/1")
+    server.offer_call(0, called_number="n/1")
     assert final_answers(server.run_until(server.now + 2 * SECOND))
     server.report_circuits(1, free=3)
-    assert final_answers(server.offer_call(0, number="n/1")), "a late redial got a reserved circuit"
-    assert sends(server.offer_call(0, number="n/2"))
+    assert final_answers(server.offer_call(0, called_number="n/1")), "a late redial got a reserved circuit"
+    assert sends(server.offer_call(0, called_number="n/2"))
     server.report_circuits(1, free=20)
-    assert sends(server.offer_call(0, number="n/1")), (
+    assert sends(server.offer_call(0, called_number="n/1")), (
         "a late redial was refused though circuits beyond the reserve were free"
     )
     server.run_until(server.now + 20 * SECOND)
@@ -135,7 +135,9 @@
     call = sends(server.offer_call(0))[0].call
     leg, office = server.attempts[call]
     full = (io.Outcome.TURNED_AWAY, io.Cause.PROCESSOR_FULL)
-    server.handle(io.AttemptEnded(call, leg, office, *full, settled=False, took=MS, named_wait=3 * SECOND))
+    server.handle(
+        io.AttemptEnded(call, leg, office, *full, call_over=False, elapsed=MS, retry_after=3 * SECOND)
+    )
     server.run_until(server.now + 2900 * MS)
     assert sum(bool(sends(server.offer_call(0))) for _ in range(30)) <= 3
     for _ in range(30):
@@ -178,7 +180,7 @@
                     settled = call in server.answered_at
                     no_answer = (io.Outcome.NO_ANSWER, io.Cause.NONE)
                     server.handle(
-                        io.AttemptEnded(call, leg, office, *no_answer, settled=settled, took=SECOND)
+                        io.AttemptEnded(call, leg, office, *no_answer, call_over=settled, elapsed=SECOND)
                     )
 
     offer_calls(start + 4 * SECOND, ())
@@ -318,7 +320,7 @@
         2 * SECOND
     )  # the process stalls for two seconds, then all events arrive at once, timers first
     offers = [server.make_offer(2, dest=n) for n in (1, 2, 3)]
-    answers = [io.CallStands(c, *server.attempts[c], took=2 * SECOND) for c in calls]
+    answers = [io.CallStands(c, *server.attempts[c], elapsed=2 * SECOND) for c in calls]
     due = [io.TimerDue(token) for at, token in server.timers if at <= server.now]
     server.timers = [(at, token) for at, token in server.timers if at > server.now]
     actions = server.handle(*due, *answers, *offers)
@@ -367,7 +369,7 @@
 def test_reduction_asked_for_holds_until_the_next_report_is_due() -> None:
     server = Rig(rig.build_settings(), numbers=(0, 1))
     server.report_circuits(1, free=400, size=400)
-    reduction = io.LoadReport(free=400, size=400, reduce=0.9)
+    reduction = io.LoadReport(free=400, size=400, reduction=0.9)
     call = sends(server.offer_call(0))[0].call
     server.answer_call(call)
     server.end_attempt(call, io.Outcome.RELEASED, settled=True, report=reduction)
@@ -466,7 +468,7 @@
         call = sends(server.offer_call(2))[0].call
         server.answer_call(call)
         server.end_attempt(call, io.Outcome.RELEASED, settled=True)
-    return server, io.LoadReport(free=30, size=30, reduce=0.0)
+    return server, io.LoadReport(free=30, size=30, reduction=0.0)
 
 
 def test_lost_answer_is_found_by_a_probe_and_its_call_is_sent_again_in_time() -> None:
@@ -487,7 +489,7 @@
     call = sends(server.offer_call(2))[0].call
     probes = [a for a in server.run_until(server.now + 400 * MS) if isinstance(a, io.Probe)]
     assert len(probes) == 1, "other than one probe was sent within an aim"
-    busy = replace(idle, reduce=0.5)
+    busy = replace(idle, reduction=0.5)
     actions = server.handle(io.OfficeHeard(address(1), False, True, 5 * MS, busy))
     assert not any(isinstance(a, io.Cancel) for a in actions) and call in server.attempts
 
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -10,7 +10,7 @@
 from eiderstep.lab.fuzz.seeds import seed_inputs
 from eiderstep.lab.fuzz.targets import TARGETS
 from eiderstep.lab.fuzz.worst import measure_traced
-from eiderstep.server.register import Row, entry
+from eiderstep.server.register import ExchangeRow, office_entry
 from eiderstep.sip.parser import BadMessage, Limits, Parser
 
 CORPUS = Path(__file__).resolve().parent / "corpus"
@@ -31,13 +31,13 @@
 @pytest.mark.parametrize(("age", "started"), [(1e999, 0), (-1.0, 0), (0.0, 1000), (5e-7, 500), (1e300, 0)])
 def test_invalid_age_is_read_as_that_of_a_long_running_exchange(age: float, started: int) -> None:
     """JSON allows 1e999, which is infinite: found by fuzzing, it ended the stream's callback for good."""
-    office = entry(Row("10.0.0.1:1", 1, "up", age), 1000)
+    office = office_entry(ExchangeRow("10.0.0.1:1", 1, "up", age), 1000)
     assert office is not None and office.started == started
 
 
 @pytest.mark.parametrize(("number", "age"), [(-1, None), (65536, None), (1, float("nan"))])
 def test_entry_with_invalid_number_or_age_is_ignored(number: int, age: float | None) -> None:
-    assert entry(Row("10.0.0.1:1", number, "up", age), 1000) is None
+    assert office_entry(ExchangeRow("10.0.0.1:1", number, "up", age), 1000) is None
 
 
 LINES_WITH_LONG_NUMBER = [
--- a/tests/test_isup.py
+++ b/tests/test_isup.py
@@ -6,7 +6,7 @@
 
 from eiderstep.isup import message as isup
 from eiderstep.isup.message import MAX_LENGTH, Message, parse_pairs
-from eiderstep.isup.parser import Parser, Unreadable
+from eiderstep.isup.parser import FramingError, Parser
 
 PARAMETERS = st.dictionaries(st.integers(0, 255), st.binary(max_size=60), max_size=6)
 MESSAGES = st.builds(
@@ -14,7 +14,7 @@
 )
 
 
-def parse(*chunks: bytes) -> list[Message | Unreadable]:
+def parse(*chunks: bytes) -> list[Message | FramingError]:
     parser = Parser()
     return [item for chunk in chunks for item in parser.feed(chunk)]
 
@@ -33,7 +33,7 @@
     parser = Parser()
     found = parser.feed(b"".join(message.encode() for message in messages) + noise)
     assert found[: len(messages)] == messages
-    errors = [item for item in found if isinstance(item, Unreadable)]
+    errors = [item for item in found if isinstance(item, FramingError)]
     assert len(errors) == parser.failed <= 1
     assert len(parser.remainder) <= MAX_LENGTH + 2
     if parser.failed:
@@ -54,8 +54,8 @@
 )  # fmt: skip
 def test_malformed_message_is_reported_at_once(data: bytes) -> None:
     [item] = parse(data)
-    assert isinstance(item, Unreadable)
-    assert isinstance(parse(*(data[i : i + 1] for i in range(len(data))))[-1], Unreadable)
+    assert isinstance(item, FramingError)
+    assert isinstance(parse(*(data[i : i + 1] for i in range(len(data))))[-1], FramingError)
 
 
 def test_longest_message_is_accepted_and_one_byte_more_is_not() -> None:
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -13,12 +13,12 @@
 
 from eiderstep.config.schema import Caller, Limits, SourceLimits, Trust
 from eiderstep.lab.clock import VirtualLoop
-from eiderstep.server.node import CallServer
+from eiderstep.server.call_server import CallServer
 from eiderstep.sip.message import request, split_address
 from eiderstep.sip.parser import Parser
-from eiderstep.standin.callers import Callers, Manners
+from eiderstep.standin.callers import CallerBehaviour, Callers
 from eiderstep.trust.limits import MAX_SOURCES, UNKNOWN_RATE_DIVISOR, SourceLimiter, Verdict
-from eiderstep.trust.pace import MAX_KEYS, Thinner
+from eiderstep.trust.pace import MAX_KEYS, LogRateLimiter
 from tests.test_server import PLAIN, Log, on_virtual_loop, start_server_and_exchange
 
 SECOND = 1_000_000_000
@@ -177,12 +177,12 @@
 
 
 def test_log_lines_are_rate_limited_and_suppressed_ones_counted() -> None:
-    limiter = Thinner(burst=3, period=SECOND)
-    assert [limiter.line(n, "a") for n in range(6)] == [0, 0, 0, -1, -1, -1]
-    assert limiter.line(5, "b") == 0
-    assert limiter.line(SECOND, "a") == 3 and limiter.line(SECOND, "a") == 0
+    limiter = LogRateLimiter(burst=3, period=SECOND)
+    assert [limiter.count_line(n, "a") for n in range(6)] == [0, 0, 0, -1, -1, -1]
+    assert limiter.count_line(5, "b") == 0
+    assert limiter.count_line(SECOND, "a") == 3 and limiter.count_line(SECOND, "a") == 0
     for n in range(5000):
-        limiter.line(n, n)
+        limiter.count_line(n, n)
     assert len(limiter.windows) <= MAX_KEYS
 
 
@@ -242,8 +242,10 @@
 
     async def run() -> None:
         server, exchange = await start_server_and_exchange(loop, log, trust=CALLER_TRUST, limits=limits)
-        callers = Callers(loop, server.address, Random(1), Manners(leaves_early=0.0, redials=0))
-        callers.host = CALLER_HOST
+        callers = Callers(
+            loop, server.address, Random(1), CallerBehaviour(early_hang_up_share=0.0, max_redials=0)
+        )
+        callers.local_host = CALLER_HOST
         await callers.connect()
         flooders = [await connect_flood_client(loop, server, host) for _ in range(4)]
         offers = []
@@ -252,7 +254,7 @@
                 for k in range(12):
                     flooder.transport.write(make(1000 * n + 100 * i + k))
             if n % 10 == 0:
-                offers.append(callers.offer(PLAIN, "40011234"))
+                offers.append(callers.offer_call(PLAIN, "40011234"))
             await asyncio.sleep(0.01)
         await asyncio.sleep(2)
         assert [offer.outcome for offer in offers] == ["stands"] * 10
@@ -270,7 +272,7 @@
                 "calls above the rate get 503, and the connections stay open"
             )
         server.kill()
-        exchange.die()
+        exchange.kill()
 
     on_virtual_loop(run(), loop)
     assert len(log.lines) < 60
@@ -292,7 +294,7 @@
                 client.transport.write(b"x")  # a slow writer: one byte every half second
         assert client.lost is bool(tail)
         server.kill()
-        exchange.die()
+        exchange.kill()
 
     on_virtual_loop(run(), loop)
     assert ("connection closed with incomplete message" in log.events()) is bool(tail)
--- a/tests/test_node_bounds.py
+++ b/tests/test_node_caller_limits.py
@@ -1,6 +1,6 @@
 """Limits on callers' connections and message rates."""
 
-from eiderstep.node.bounds import (
+from eiderstep.node.caller_limits import (
     FIRST_MESSAGE_TIMEOUT,
     MAX_READ_PAUSE,
     SOURCE_ALLOWANCE,
--- a/tests/test_node_calls.py
+++ b/tests/test_node_calls.py
@@ -28,7 +28,7 @@
 
 def attempt_ends(table: CallTableRig) -> list[tuple[object, object, bool]]:
     return [
-        (event.outcome, event.cause, event.settled)
+        (event.outcome, event.cause, event.call_over)
         for event in table.take_events(io.AttemptEnded)
         if isinstance(event, io.AttemptEnded)
     ]
@@ -43,7 +43,7 @@
     # Class, number and description are forwarded unchanged, the wait is the attempt's, 185 is dropped.
     received = set_up().parameters
     forwarded = {code: received[code] for code in (isup.CLASS, isup.NUMBER, isup.DESCRIPTION)} | {
-        isup.PATIENCE: b"900"
+        isup.GIVE_UP_TIME: b"900"
     }
     assert (flow, set_up_sent) == (LINK, Message(isup.IAM, CALL_A, forwarded))
     table.now += 30 * MS
@@ -56,7 +56,7 @@
     assert table.calls.handle_caller_message(table.now, CALLER, Message(isup.RLC, CALL_A))
     [end] = table.take_events(io.AttemptEnded)
     assert isinstance(end, io.AttemptEnded)
-    assert (end.outcome, end.settled, end.took) == (Outcome.RELEASED, True, 1030 * MS)
+    assert (end.outcome, end.call_over, end.elapsed) == (Outcome.RELEASED, True, 1030 * MS)
     assert end.report == io.LoadReport(free=4, size=40, waiting=3.0)
     assert table.holds_nothing()
 
@@ -290,8 +290,8 @@
     assert table.flush() == []  # a report is not answered
     assert table.calls.handle_office_message(table.now, LINK, release())
     assert (CALLER, release()) in table.flush()
-    assert table.decider.events == [
-        event for event in table.decider.events if not isinstance(event, io.AttemptEnded)
+    assert table.controller.events == [
+        event for event in table.controller.events if not isinstance(event, io.AttemptEnded)
     ]
     assert table.holds_nothing()
 
@@ -341,7 +341,7 @@
 @pytest.mark.parametrize(
     "message",
     [
-        set_up(wait=0), set_up(wait=10**9), set_up(patience=b"-5"), set_up(patience=b"soon"),
+        set_up(wait=0), set_up(wait=10**9), set_up(give_up_time=b"-5"), set_up(give_up_time=b"soon"),
         set_up(class_name=b"no such"), set_up(number=b""), set_up(number=b"x" * 65), set_up(number=b"a b"),
         set_up(pairs="dest:-1;width:1"), set_up(pairs="dest:1.5;width:1"), set_up(pairs="dest:70000"),
         set_up(pairs="dest:1;width:3"), set_up(pairs="dest:1;width:-1"), set_up(pairs="dest:x"),
@@ -359,17 +359,17 @@
 @pytest.mark.parametrize("text", ["x0", "x0:?", "\x7f"])
 def test_malformed_load_report_closes_the_link(text: str) -> None:
     table = CallTableRig()
-    state = Message(isup.STATE, isup.NO_CALL, {isup.REPORT: text.encode()})
+    state = Message(isup.GROUP_STATE, isup.NO_CALL, {isup.LOAD_REPORT: text.encode()})
     assert not table.calls.handle_office_message(table.now, LINK, state)
 
 
 def test_group_state_is_reported_as_unsolicited() -> None:
     table = CallTableRig()
-    table.decider.events.clear()
-    state = Message(isup.STATE, isup.NO_CALL, {isup.REPORT: b"x0:7;x1:40;queue:-1;qps:-1"})
+    table.controller.events.clear()
+    state = Message(isup.GROUP_STATE, isup.NO_CALL, {isup.LOAD_REPORT: b"x0:7;x1:40;queue:-1;qps:-1"})
     assert table.calls.handle_office_message(table.now, LINK, state)
     table.flush()
-    assert table.decider.events == [io.OfficeHeard(OFFICE, True, True, 0, io.LoadReport(free=7, size=40))]
+    assert table.controller.events == [io.OfficeHeard(OFFICE, True, True, 0, io.LoadReport(free=7, size=40))]
 
 
 def test_connection_test_is_answered_and_unexpected_types_close_the_connection() -> None:
@@ -377,8 +377,8 @@
     assert table.calls.handle_caller_message(
         table.now, CALLER, Message(isup.TEST, CALL_B, {isup.CAUSE: b"\0"})
     )
-    assert table.flush() == [(CALLER, Message(isup.TESTED, CALL_B, {isup.CAUSE: b"\1"}))]
-    for kind in (isup.ANM, isup.STATE, isup.TESTED):
+    assert table.flush() == [(CALLER, Message(isup.TEST_RESULT, CALL_B, {isup.CAUSE: b"\1"}))]
+    for kind in (isup.ANM, isup.GROUP_STATE, isup.TEST_RESULT):
         assert not table.calls.handle_caller_message(table.now, CALLER, Message(kind, CALL_B))
     for kind in (isup.IAM, isup.TEST):
         assert not table.calls.handle_office_message(table.now, LINK, Message(kind, CALL_B))
@@ -438,7 +438,9 @@
 def test_free_circuits_are_reported_again_after_an_unsent_set_up() -> None:
     """The module deducts them when it sends; the office, where nothing changed, reports nothing."""
     table = CallTableRig()
-    state = Message(isup.STATE, isup.NO_CALL, {isup.REPORT: b"idle:7;circuits:40;waiting:-1;max_rate:-1"})
+    state = Message(
+        isup.GROUP_STATE, isup.NO_CALL, {isup.LOAD_REPORT: b"idle:7;circuits:40;waiting:-1;max_rate:-1"}
+    )
     assert table.calls.handle_office_message(table.now, LINK, state)
     table.calls.link_lost(table.now, LINK)
     table.offer()
@@ -490,11 +492,11 @@
     table = CallTableRig()
     table.calls.link_up(table.now, OFFICE, OTHER_LINK)
     table.flush()
-    table.decider.events.clear()
+    table.controller.events.clear()
 
     def apply_state(flow: int, free: int) -> int:
         report = f"idle:{free};circuits:40".encode()
-        state = Message(isup.STATE, isup.NO_CALL, {isup.REPORT: report})
+        state = Message(isup.GROUP_STATE, isup.NO_CALL, {isup.LOAD_REPORT: report})
         assert table.calls.handle_office_message(table.now, flow, state)
         table.flush()
         return len(table.take_events(io.OfficeHeard))
--- a/tests/test_node_wires.py
+++ b/tests/test_node_connections.py
@@ -10,6 +10,7 @@
 from eiderstep.isup import message as isup
 from eiderstep.isup.message import Message
 from eiderstep.node.config import check_config
+from eiderstep.node.connections import MAX_UNSENT, Connection
 from eiderstep.node.links import (
     IDLE_TEST_DELAY,
     LINK_TEST_TIMEOUT,
@@ -19,7 +20,6 @@
     TEST_REFERENCE,
 )
 from eiderstep.node.server import Node
-from eiderstep.node.wires import MAX_UNSENT, Wire
 from tests.node_rig import set_up
 from tests.test_node_process import SETTINGS
 
@@ -69,8 +69,8 @@
     asyncio.run(run())
 
 
-def connect(node: Node, office: str = "") -> tuple[Wire, FakeTransport]:
-    connection, transport = Wire(node, office), FakeTransport()
+def connect(node: Node, office: str = "") -> tuple[Connection, FakeTransport]:
+    connection, transport = Connection(node, office), FakeTransport()
     connection.connection_made(transport)
     return connection, transport
 
@@ -83,7 +83,7 @@
 
     def scenario(node: Node) -> None:
         connection, _ = connect(node, "s-one")
-        state = Message(isup.STATE, isup.NO_CALL, {isup.REPORT: b"idle:3;circuits:4"})
+        state = Message(isup.GROUP_STATE, isup.NO_CALL, {isup.LOAD_REPORT: b"idle:3;circuits:4"})
         release = Message(isup.REL, "a" * 16, {isup.CAUSE: b"\x10"})
         connection.data_received(state.encode() + release.encode())
         assert node.calls.free_circuits == {"s-one": 3}
@@ -153,7 +153,7 @@
         caller, _ = connect(node)
         caller.data_received(set_up(call="a" * 16).encode())
         node.calls.flush(now)
-        attempts = node.calls.on_link[dead_link.flow]
+        attempts = node.calls.attempts_by_link[dead_link.flow]
         assert (
             list(attempts) == ["a" * 16]
             and node.calls.oldest_set_up(dead_link.flow) == attempts["a" * 16].sent_at
@@ -165,7 +165,7 @@
         assert transport.written[2] == isup.TEST and node.calls.links_under_test == {dead_link.flow}
         caller.data_received(set_up(call="b" * 16).encode())
         node.calls.flush(now)
-        assert list(node.calls.on_link[live_link.flow]) == ["b" * 16]
+        assert list(node.calls.attempts_by_link[live_link.flow]) == ["b" * 16]
         live_link.last_received_at = dead_link.tested_at + LINK_TEST_TIMEOUT - 1
         node.links.check_links(live_link.last_received_at)
         assert not transport.aborted
@@ -173,7 +173,7 @@
         node.links.check_links(live_link.last_received_at)
         assert transport.aborted and not node.calls.links_under_test
         [ended] = [event for event in node.calls.events if isinstance(event, io.AttemptEnded)]
-        assert (ended.outcome, ended.settled) == (io.Outcome.NO_ANSWER, False)
+        assert (ended.outcome, ended.call_over) == (io.Outcome.NO_ANSWER, False)
 
     run_with_node(scenario)
 
@@ -183,7 +183,7 @@
         connection, transport = connect(node, "s-one")
         node.links.check_links(connection.last_received_at + IDLE_TEST_DELAY)
         assert node.calls.links_under_test == {connection.flow}
-        connection.data_received(Message(isup.TESTED, TEST_REFERENCE, {isup.CAUSE: b"\1"}).encode())
+        connection.data_received(Message(isup.TEST_RESULT, TEST_REFERENCE, {isup.CAUSE: b"\1"}).encode())
         assert not node.calls.links_under_test
         connection.last_received_at = connection.tested_at + 1
         other_link, _ = connect(node, "s-one")
--- a/tests/test_node_process.py
+++ b/tests/test_node_process.py
@@ -58,16 +58,16 @@
 
     async def open(self) -> None:
         for office in self.offices:
-            await office.open()
-        await self.change_log.open()
-        self.change_log.tell(*(office.entry() for office in self.offices), whole=True)
+            await office.listen()
+        await self.change_log.listen()
+        self.change_log.append_event(*(office.list_entry() for office in self.offices), whole=True)
 
     def configure(self, **overrides: Any) -> Path:
         path = self.folder / "config.json"
         raw_config = {
             "name": "n0", "listen": f"{HOST}:{self.port}", "seed": "8c1f30d27a5be964",
             "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 256},
-            "changelog": f"{HOST}:{self.change_log.port}", "known": self.change_log.answer(0),
+            "changelog": f"{HOST}:{self.change_log.port}", "known": self.change_log.events_since(0),
             "settings": SETTINGS,
         } | overrides  # fmt: skip
         path.write_text(json.dumps(raw_config))
@@ -141,8 +141,8 @@
 
 
 async def place_call(caller: Caller, number: int, dest: int = 1, **overrides: Any) -> Message:
-    caller.ask(call_reference(number), dest, **overrides)
-    return await caller.hear()
+    caller.send_set_up(call_reference(number), dest, **overrides)
+    return await caller.receive()
 
 
 def test_calls_are_released_from_both_sides_and_survive_lost_links(tmp_path: Path) -> None:
@@ -150,21 +150,21 @@
         office = platform.offices[0]
         caller = await platform.caller()
         caller.send(Message(isup.TEST, call_reference(1), {isup.CAUSE: b"\0"}))
-        assert (await caller.hear()) == Message(isup.TESTED, call_reference(1), {isup.CAUSE: b"\1"})
+        assert (await caller.receive()) == Message(isup.TEST_RESULT, call_reference(1), {isup.CAUSE: b"\1"})
         for number in (10, 11, 12):
             answer = await place_call(caller, number)
             description = f"s-one {call_reference(number)}\r\n".encode()
             assert answer == Message(isup.ANM, call_reference(number), {isup.DESCRIPTION: description})
-        office.release(call_reference(10))
-        assert (await caller.hear()).kind == isup.REL
+        office.release_call(call_reference(10))
+        assert (await caller.receive()).kind == isup.REL
         (await platform.caller()).send(Message(isup.REL, call_reference(11), {isup.CAUSE: b"\x10"}))
-        await platform.wait_until(lambda: call_reference(11) not in office.standing)
-        old = list(office.wires)
-        for wire in old:
-            wire.transport.abort()
-        await platform.wait_until(lambda: bool(office.wires) and office.wires[-1] not in old)
-        office.release(call_reference(12))  # on a link opened after its set-up
-        assert (await caller.hear()).call == call_reference(12)
+        await platform.wait_until(lambda: call_reference(11) not in office.standing_calls)
+        old = list(office.connections)
+        for connection in old:
+            connection.transport.abort()
+        await platform.wait_until(lambda: bool(office.connections) and office.connections[-1] not in old)
+        office.release_call(call_reference(12))  # on a link opened after its set-up
+        assert (await caller.receive()).call == call_reference(12)
 
     run_scenario(tmp_path, scenario)
 
@@ -173,22 +173,24 @@
     async def scenario(platform: Platform) -> None:
         office, caller = platform.offices[0], await platform.caller()
         spoils: list[Callable[[Any, Message], None]] = [
-            lambda wire, message: wire.transport.write(b"\xff" * 100),
-            lambda wire, message: wire.transport.write(
+            lambda connection, message: connection.transport.write(b"\xff" * 100),
+            lambda connection, message: connection.transport.write(
                 b"\x00\x40\x09" + bytes.fromhex(message.call) + b"\xc3\xff\xff" + b"x" * 80
             ),
-            lambda wire, message: wire.send(Message(isup.ANM, message.call, {isup.DESCRIPTION: b"\x80\x81"})),
-            lambda wire, message: wire.transport.abort(),
+            lambda connection, message: connection.send(
+                Message(isup.ANM, message.call, {isup.DESCRIPTION: b"\x80\x81"})
+            ),
+            lambda connection, message: connection.transport.abort(),
         ]
         for number, spoil in enumerate(spoils, 20):
 
             def spoil_once(
-                wire: Any, message: Message, spoil: Callable[[Any, Message], None] = spoil
+                connection: Any, message: Message, spoil: Callable[[Any, Message], None] = spoil
             ) -> None:
-                office.reply = office.answer
-                spoil(wire, message)
+                office.on_set_up = office.answer_call
+                spoil(connection, message)
 
-            office.reply = spoil_once
+            office.on_set_up = spoil_once
             answer = await place_call(caller, number)  # another attempt succeeds after the fault
             assert answer.kind == isup.ANM
             description = answer.parameters[isup.DESCRIPTION]  # of the office that took that attempt
@@ -196,16 +198,16 @@
                 f"{each.name} {call_reference(number)}\r\n".encode() for each in platform.offices
             ]
 
-        def answer_twice(wire: Any, message: Message) -> None:
-            wire.send(Message(isup.ANM, call_reference(99), {isup.DESCRIPTION: b"nobody's\r\n"}))
-            office.answer(wire, message)
-            office.answer(wire, message)
+        def answer_twice(connection: Any, message: Message) -> None:
+            connection.send(Message(isup.ANM, call_reference(99), {isup.DESCRIPTION: b"nobody's\r\n"}))
+            office.answer_call(connection, message)
+            office.answer_call(connection, message)
 
-        office.reply = answer_twice
+        office.on_set_up = answer_twice
         assert (await place_call(caller, 30)).call == call_reference(30)
-        office.reply = office.answer
+        office.on_set_up = office.answer_call
         assert (await place_call(caller, 31)).call == call_reference(31)  # and no other message before it
-        assert caller.heard.empty()
+        assert caller.received.empty()
 
     run_scenario(tmp_path, scenario)
 
@@ -220,10 +222,10 @@
             await asyncio.wait_for(bad_caller.closed, 3)
         bad_caller = await platform.caller()
         for number in range(1000, 1300):  # hundreds of set-ups, withdrawn at once
-            bad_caller.ask(call_reference(number), 1)
+            bad_caller.send_set_up(call_reference(number), 1)
             bad_caller.send(Message(isup.REL, call_reference(number), {isup.CAUSE: b"\x10"}))
-        bad_caller.ask(call_reference(2000), 1, wait=-1)
-        refused = await bad_caller.hear()
+        bad_caller.send_set_up(call_reference(2000), 1, give_up_ms=-1)
+        refused = await bad_caller.receive()
         assert (refused.call, refused.cause) == (call_reference(2000), isup.INVALID)
         # More silent connections than the descriptors available to callers.
         silent = [await platform.caller() for _ in range(220)]
@@ -234,7 +236,9 @@
         await asyncio.wait_for(asyncio.gather(*(caller.closed for caller in [*silent, partial])), 6)
         assert (await place_call(good_caller, 60)).kind == isup.ANM
         assert (await place_call(await platform.caller(), 61)).kind == isup.ANM
-        assert not platform.offices[0].standing & {call_reference(number) for number in range(1000, 1300)}
+        assert not platform.offices[0].standing_calls & {
+            call_reference(number) for number in range(1000, 1300)
+        }
 
     run_scenario(tmp_path, scenario)
 
@@ -246,16 +250,20 @@
         assert (await place_call(caller, 70, 1)).kind == isup.ANM
         assert (await place_call(caller, 71, 2)).kind == isup.ANM
         office.kill()
-        release = await caller.hear()
-        assert (release.kind, release.call, release.cause) == (isup.REL, call_reference(70), isup.TEMPORARY)
-        other_office.deaf = True
+        release = await caller.receive()
+        assert (release.kind, release.call, release.cause) == (
+            isup.REL,
+            call_reference(70),
+            isup.TEMPORARY_FAILURE,
+        )
+        other_office.ignores_messages = True
         assert other_office.server is not None
         other_office.server.close()  # open connections stay open, new ones fail
-        refused = await place_call(caller, 72, 2, wait=1200)
+        refused = await place_call(caller, 72, 2, give_up_ms=1200)
         # Refused before the caller gives up.
         assert (refused.kind, refused.call) == (isup.REL, call_reference(72))
-        release = await caller.hear(9)
-        assert (release.call, release.cause) == (call_reference(71), isup.TEMPORARY)
+        release = await caller.receive(9)
+        assert (release.call, release.cause) == (call_reference(71), isup.TEMPORARY_FAILURE)
 
     run_scenario(tmp_path, scenario)
 
@@ -266,17 +274,17 @@
         office, caller = platform.offices[0], await platform.caller()
         assert (await place_call(caller, 80)).kind == isup.ANM
         platform.change_log.fault = fault
-        polls = len(platform.change_log.polls)
-        platform.change_log.tell(office.entry("draining"))
+        polls = len(platform.change_log.polled_since)
+        platform.change_log.append_event(office.list_entry("draining"))
         if fault:
-            await platform.wait_until(lambda: len(platform.change_log.polls) > polls + 1)
+            await platform.wait_until(lambda: len(platform.change_log.polled_since) > polls + 1)
             platform.change_log.fault = ""
         await platform.wait_until(lambda: platform.logged("office 1 drains or is gone"))
-        before = office.count(isup.IAM)
-        assert (await place_call(caller, 81, wait=400)).kind == isup.REL
-        assert office.count(isup.IAM) == before
-        office.release(call_reference(80))  # a standing call there continues until it is released
-        assert (await caller.hear()).call == call_reference(80)
+        before = office.count_received(isup.IAM)
+        assert (await place_call(caller, 81, give_up_ms=400)).kind == isup.REL
+        assert office.count_received(isup.IAM) == before
+        office.release_call(call_reference(80))  # a standing call there continues until it is released
+        assert (await caller.receive()).call == call_reference(80)
 
     run_scenario(tmp_path, scenario)
 
@@ -285,7 +293,7 @@
     async def scenario(platform: Platform) -> None:
         assert platform.process is not None
         old, platform.change_log = platform.change_log, ChangeLog()
-        await platform.change_log.open()
+        await platform.change_log.listen()
         platform.change_log.events = list(old.events)
         (platform.folder / "config.json").write_text('{"half": ')
         platform.process.send_signal(signal.SIGHUP)
@@ -296,10 +304,10 @@
         await platform.wait_until(lambda: platform.logged("info configuration read"))
         platform.process.send_signal(signal.SIGHUP)
         platform.process.send_signal(signal.SIGHUP)
-        await platform.wait_until(lambda: bool(platform.change_log.polls))
+        await platform.wait_until(lambda: bool(platform.change_log.polled_since))
         old.close()
-        assert platform.change_log.polls[0] == 1  # polled from the last sequence number on
-        platform.change_log.tell(platform.offices[1].entry("draining"))
+        assert platform.change_log.polled_since[0] == 1  # polled from the last sequence number on
+        platform.change_log.append_event(platform.offices[1].list_entry("draining"))
         await platform.wait_until(lambda: platform.logged("office 2 drains or is gone"))
         assert (await place_call(await platform.caller(), 85)).kind == isup.ANM
 
@@ -312,18 +320,18 @@
         office, caller = platform.offices[0], await platform.caller()
         assert (await place_call(caller, 90)).kind == isup.ANM
         unanswered: list[tuple[Any, Message]] = []
-        office.reply = lambda wire, message: unanswered.append((wire, message))
-        caller.ask(call_reference(91), 1, wait=3000)
+        office.on_set_up = lambda connection, message: unanswered.append((connection, message))
+        caller.send_set_up(call_reference(91), 1, give_up_ms=3000)
         await platform.wait_until(lambda: bool(unanswered))
         platform.process.send_signal(signal.SIGTERM)
         await platform.wait_until(lambda: platform.logged("info stopping"))
-        office.reply = office.answer
+        office.on_set_up = office.answer_call
         assert (await place_call(await platform.caller(), 92)).kind == isup.ANM  # on a new connection
-        office.answer(*unanswered[0])
-        assert (await caller.hear()).call == call_reference(91)
+        office.answer_call(*unanswered[0])
+        assert (await caller.receive()).call == call_reference(91)
         assert await platform.wait_for_exit() == 0
         # Standing calls continue without the process.
-        assert office.standing == {call_reference(90), call_reference(91), call_reference(92)}
+        assert office.standing_calls == {call_reference(90), call_reference(91), call_reference(92)}
 
     run_scenario(tmp_path, scenario)
 
@@ -337,16 +345,16 @@
         platform.process.kill()
         platform.process.wait()
         platform.process = None
-        await platform.wait_until(lambda: not office.wires)
+        await platform.wait_until(lambda: not office.connections)
         (platform.folder / "log").write_text("")
         await platform.start()
-        office.release(call_reference(96))  # before the caller has reported the call
+        office.release_call(call_reference(96))  # before the caller has reported the call
         caller = await platform.caller()
         for number in (95, 96):
-            caller.ask(call_reference(number), 1, figures="dest:1;width:1;via:-1;at:s-one")
-        assert (await caller.hear()).call == call_reference(96)
-        office.release(call_reference(95))
-        assert (await caller.hear()).call == call_reference(95)
+            caller.send_set_up(call_reference(number), 1, routing_data="dest:1;width:1;via:-1;at:s-one")
+        assert (await caller.receive()).call == call_reference(96)
+        office.release_call(call_reference(95))
+        assert (await caller.receive()).call == call_reference(95)
 
     run_scenario(tmp_path, scenario)
 
--- a/tests/test_planted.py
+++ b/tests/test_planted.py
@@ -12,7 +12,7 @@
 from eiderstep import interface as io
 from eiderstep.config.schema import ServerSettings
 from eiderstep.engine.core import Engine
-from eiderstep.engine.offers import Offer, Reader
+from eiderstep.engine.invites import CallRequest, InviteReader
 from eiderstep.lab import day as lab
 from eiderstep.lab import script
 from eiderstep.sip.message import Message
@@ -24,13 +24,13 @@
 def skip_release_wait(patch: pytest.MonkeyPatch) -> None:
     """Sets the release wait of the decision module to 0, so that it does not wait for the end of a cancelled
     attempt."""
-    original = ServerSettings.module
-    patch.setattr(ServerSettings, "module", lambda self: replace(original(self), release_wait=0))
+    original = ServerSettings.decision_settings
+    patch.setattr(ServerSettings, "decision_settings", lambda self: replace(original(self), release_wait=0))
 
 
 def discard_register_updates(patch: pytest.MonkeyPatch) -> None:
     """Discards all updates of the register except the remembered list."""
-    original = Engine.news
+    original = Engine.update_offices
 
     def keep_remembered(
         self: Engine, now: int, kind: io.ListKind, entries: tuple[io.OfficeEntry, ...]
@@ -38,18 +38,18 @@
         if kind is io.ListKind.REMEMBERED:
             original(self, now, kind, entries)
 
-    patch.setattr(Engine, "news", keep_remembered)
+    patch.setattr(Engine, "update_offices", keep_remembered)
 
 
 def extend_give_up_time(patch: pytest.MonkeyPatch) -> None:
     """Adds two seconds to the give-up time that the server reads from each INVITE."""
-    original = Reader.read
+    original = InviteReader.read
 
-    def read_extended(self: Reader, message: Message) -> Offer:
+    def read_extended(self: InviteReader, message: Message) -> CallRequest:
         request = original(self, message)
-        return replace(request, patience=request.patience + 2 * SECOND)
+        return replace(request, give_up_time=request.give_up_time + 2 * SECOND)
 
-    patch.setattr(Reader, "read", read_extended)
+    patch.setattr(InviteReader, "read", read_extended)
 
 
 @pytest.mark.parametrize(
@@ -69,7 +69,7 @@
         """Discards log events."""
 
     result, _ = lab.play(script.load(DAYS / f"{day}.star"), 1, discard_log)
-    broken_rules = {breach.rule for breach in result.verdict.breaches}
-    assert rule in broken_rules and not result.good, result.verdict.breaches[:3]
-    first = next(breach for breach in result.verdict.breaches if breach.rule == rule)
+    broken_rules = {breach.rule for breach in result.audit_report.breaches}
+    assert rule in broken_rules and not result.passed, result.audit_report.breaches[:3]
+    first = next(breach for breach in result.audit_report.breaches if breach.rule == rule)
     assert first.call and first.node == "server-0" and f"rule {rule} at " in str(first)
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -10,28 +10,28 @@
 from hypothesis import strategies as st
 
 from eiderstep.interface import ListKind, OfficeEntry, OfficeState
-from eiderstep.registry.choice import Choice
-from eiderstep.registry.decode import Bounds, InvalidResponse, JsonReader, XmlReader, reader_for
+from eiderstep.registry.decode import InvalidResponse, JsonReader, ResponseLimits, XmlReader, reader_for
 from eiderstep.registry.lease import Lease, LeaseState, Registration
 from eiderstep.registry.model import Action, Instance, Listing, Status, hash_code
-from eiderstep.registry.pace import MAX_FULL_GAP_POLLS, AddressPool, Ask, PollSchedule
+from eiderstep.registry.poll_schedule import MAX_FULL_GAP_POLLS, AddressPool, PollKind, PollSchedule
+from eiderstep.registry.source_selection import SourceSelector
 from eiderstep.registry.table import ApplyResult, RegistryTable, Snapshot
 from eiderstep.registry.view import LEASE_EXPIRY_FACTOR, Policy, View
-from eiderstep.standin.eureka import Record, hash_of, render
+from eiderstep.standin.eureka import InstanceRecord, apps_hashcode, render_response
 
 SECOND = 1_000_000_000
 REGISTRY_NOW_MS = 1_800_000_000_000  # on the registry's clock, which differs from the local one
 NOW = 5000 * SECOND
 
 
-def records(count: int, app: str = "EXCHANGES") -> list[Record]:
+def records(count: int, app: str = "EXCHANGES") -> list[InstanceRecord]:
     return [
-        Record(
+        InstanceRecord(
             app, f"x{n}", "127.0.0.1", 5060 + n,
             {"exchange": str(n), "district": str(n % 3), "started": str(REGISTRY_NOW_MS - 60_000)},
             "UP" if n % 4 else "DOWN",
-            dirty=REGISTRY_NOW_MS - 50_000, updated=REGISTRY_NOW_MS,
-            registered=REGISTRY_NOW_MS, renewed=REGISTRY_NOW_MS,
+            dirty_timestamp=REGISTRY_NOW_MS - 50_000, updated_at=REGISTRY_NOW_MS,
+            registered_at=REGISTRY_NOW_MS, renewed_at=REGISTRY_NOW_MS,
         )
         for n in range(count)
     ]  # fmt: skip
@@ -44,13 +44,13 @@
 @given(cuts=st.lists(st.integers(1, 9000), max_size=12), count=st.integers(0, 9))
 def test_json_and_xml_give_the_same_listing_for_any_chunking(form: str, cuts: list[int], count: int) -> None:
     told_records = records(count) + records(3, "OTHER")
-    body = render(told_records, form, 7, hash_of(told_records))
+    body = render_response(told_records, form, 7, apps_hashcode(told_records))
     reader = reader_for(f"application/{form};charset=utf-8", "exchanges")
     edges = [0, *sorted(cut for cut in cuts if cut < len(body)), len(body)]
     for start, end in zip(edges, edges[1:], strict=False):
         reader.feed(body[start:end])
     listing = reader.finish()
-    assert listing.version == 7 and listing.hashcode == hash_of(told_records)
+    assert listing.version == 7 and listing.hashcode == apps_hashcode(told_records)
     assert {instance.id: instance.status.value for instance in listing.instances.values()} == {
         record.id: record.status for record in told_records[:count]
     }
@@ -78,8 +78,8 @@
     assert hash_code([found.status]) == listing.hashcode and listing.version == 3
 
 
-GOOD = render(records(3), "json", 1, "x")
-GOOD_XML = render(records(3), "xml", 1, "x")
+GOOD = render_response(records(3), "json", 1, "x")
+GOOD_XML = render_response(records(3), "xml", 1, "x")
 UNTERMINATED_ID = b'{"applications":{"application":[{"name":"EXCHANGES","instance":[{"instanceId":"'
 INVALID = {
     "half": ("application/json", GOOD[: len(GOOD) // 2], "truncated response"),
@@ -94,8 +94,8 @@
     "deep xml": ("application/xml", b"<applications>" + b"<a>" * 40, "nested"),
     "entities": ("application/xml", b"<!DOCTYPE a [<!ENTITY b 'c'>]><applications/>", "document type"),
     "long value": ("application/json", UNTERMINATED_ID + b"x" * 9000 + b'"}]}]}}', "value of over"),
-    "too many": ("application/json", render(records(21), "json", 1, "x"), "over 20 instances"),
-    "too much": ("application/json", render(records(2), "json", 1, "x") + b" " * 300_000, "bytes"),
+    "too many": ("application/json", render_response(records(21), "json", 1, "x"), "over 20 instances"),
+    "too much": ("application/json", render_response(records(2), "json", 1, "x") + b" " * 300_000, "bytes"),
     "fields": (
         "application/json",
         UNTERMINATED_ID
@@ -110,7 +110,7 @@
 @pytest.mark.parametrize("content_type, body, message", INVALID.values(), ids=INVALID)
 def test_invalid_response_is_refused_with_its_reason(content_type: str, body: bytes, message: str) -> None:
     with pytest.raises(InvalidResponse, match=message):
-        reader = reader_for(content_type, "exchanges", Bounds(answer=300_000, instances=20))
+        reader = reader_for(content_type, "exchanges", ResponseLimits(max_bytes=300_000, max_instances=20))
         reader.feed(body)
         reader.finish()
 
@@ -509,10 +509,10 @@
 
 def test_full_lists_get_rarer_while_the_hash_never_matches() -> None:
     schedule, now, full_polls = PollSchedule(SECOND, 0, Random(1)), 0, []
-    assert schedule.next_kind(0, "a") is Ask.FULL
+    assert schedule.next_kind(0, "a") is PollKind.FULL
     for poll in range(200):
         kind = schedule.next_kind(now, "a")
-        full_polls += [poll] if kind is Ask.FULL else []
+        full_polls += [poll] if kind is PollKind.FULL else []
         schedule.on_response(now, "a", kind, hash_matches=False)
         now += SECOND
     assert (
@@ -520,9 +520,9 @@
         and max(following - previous for previous, following in zip(full_polls, full_polls[1:], strict=False))
         <= MAX_FULL_GAP_POLLS
     )
-    schedule.on_response(now, "a", Ask.FULL, hash_matches=True)
-    assert schedule.next_kind(now + SECOND, "a") is Ask.DELTA
-    assert schedule.next_kind(now + SECOND, "b") is Ask.FULL, (
+    schedule.on_response(now, "a", PollKind.FULL, hash_matches=True)
+    assert schedule.next_kind(now + SECOND, "a") is PollKind.DELTA
+    assert schedule.next_kind(now + SECOND, "b") is PollKind.FULL, (
         "a full list is needed because the table came from another registry"
     )
 
@@ -533,7 +533,9 @@
         [schedule.on_failure(address_changed=False) / SECOND for _ in range(6)] for schedule in schedules
     ]
     assert all(0.5 <= series[0] <= 1 and 2 <= series[-1] <= 4 for series in waits)
-    after_recovery = sorted(schedule.on_response(0, "a", Ask.DELTA, True) / SECOND for schedule in schedules)
+    after_recovery = sorted(
+        schedule.on_response(0, "a", PollKind.DELTA, True) / SECOND for schedule in schedules
+    )
     assert 0.5 <= after_recovery[0] < 0.6 and 1.4 < after_recovery[-1] <= 1.5, (
         "the polls after a recovery are spread"
     )
@@ -541,22 +543,29 @@
     assert (
         schedule.expedite(SECOND)
         and not schedule.expedite(SECOND + 5)
-        and schedule.next_kind(SECOND, "a") is Ask.FULL
+        and schedule.next_kind(SECOND, "a") is PollKind.FULL
     )
 
 
 def test_fallback_list_is_in_force_only_while_the_primary_fails() -> None:
-    choice = Choice("registry", 5 * SECOND)
+    choice = SourceSelector("registry", 5 * SECOND)
     a, b = OfficeEntry("h:1", 1, OfficeState.UP), OfficeEntry("h:2", 2, OfficeState.UP)
-    assert choice.heard(0, "register", ListKind.COMPLETE, (b,)) == [] and choice.next_due() == 5 * SECOND
-    assert choice.heard(1, "registry", ListKind.COMPLETE, (a,)) == [(ListKind.COMPLETE, (a,))]
-    assert choice.next_due() is None
-    assert choice.heard(SECOND, "registry", ListKind.FAILED, ()) == [(ListKind.FAILED, ())]
-    assert choice.due(2 * SECOND) == [] and choice.due(6 * SECOND) == [(ListKind.COMPLETE, (b,))]
+    assert (
+        choice.on_update(0, "register", ListKind.COMPLETE, (b,)) == []
+        and choice.next_fallback_at() == 5 * SECOND
+    )
+    assert choice.on_update(1, "registry", ListKind.COMPLETE, (a,)) == [(ListKind.COMPLETE, (a,))]
+    assert choice.next_fallback_at() is None
+    assert choice.on_update(SECOND, "registry", ListKind.FAILED, ()) == [(ListKind.FAILED, ())]
+    assert choice.check_fallback(2 * SECOND) == [] and choice.check_fallback(6 * SECOND) == [
+        (ListKind.COMPLETE, (b,))
+    ]
     gone = OfficeEntry("h:2", 2, OfficeState.GONE)
-    assert choice.heard(7 * SECOND, "register", ListKind.CHANGES, (gone,)) == [(ListKind.CHANGES, (gone,))]
-    assert choice.heard(8 * SECOND, "registry", ListKind.CHANGES, (b,)) == [(ListKind.COMPLETE, (a, b))]
-    assert not choice.on_fallback and choice.heard(9 * SECOND, "register", ListKind.CHANGES, (b,)) == []
+    assert choice.on_update(7 * SECOND, "register", ListKind.CHANGES, (gone,)) == [
+        (ListKind.CHANGES, (gone,))
+    ]
+    assert choice.on_update(8 * SECOND, "registry", ListKind.CHANGES, (b,)) == [(ListKind.COMPLETE, (a, b))]
+    assert not choice.on_fallback and choice.on_update(9 * SECOND, "register", ListKind.CHANGES, (b,)) == []
 
 
 def test_lease_from_registration_to_deregistration() -> None:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -51,7 +51,7 @@
                 settled = call in standing or call in server.answered_at
                 report = io.LoadReport(
                     rng.randrange(20), 30, waiting=rng.randrange(90), max_rate=rng.choice((None, 5.0, 40.0)),
-                    reduce=rng.choice((None, 0.0, 0.7)),
+                    reduction=rng.choice((None, 0.0, 0.7)),
                 )  # fmt: skip
                 log += server.end_attempt(call, outcome, rng.choice(list(io.Cause)), settled, report)
         elif choice < 0.9:
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -26,19 +26,19 @@
     Timers,
 )
 from eiderstep.lab.clock import VirtualLoop
-from eiderstep.server.node import CallServer
+from eiderstep.server.call_server import CallServer
 from eiderstep.server.register import EventStream, RegisterClient
-from eiderstep.sip.dialog import acknowledge
+from eiderstep.sip.dialog import make_ack
 from eiderstep.sip.message import Message, request, split_address
 from eiderstep.sip.parser import parse_datagram
-from eiderstep.sip.transaction import Times
-from eiderstep.standin.callers import Callers, Class, Manners
-from eiderstep.standin.exchange import Exchange, Plant
+from eiderstep.sip.transaction import BaseTimes
+from eiderstep.standin.callers import CallerBehaviour, CallerClass, Callers
+from eiderstep.standin.exchange import Exchange, ExchangeConfig
 from eiderstep.standin.register import Entry
 from eiderstep.standin.register import Register as RegisterStandin
 
 SECOND = 1_000_000_000
-PLAIN = Class("plain", 1.0, 1.0, 2.0)
+PLAIN = CallerClass("plain", 1.0, 1.0, 2.0)
 SETTINGS = ServerSettings(
     number=0, listen="127.0.0.1:0", context="standin", peers=[], dial_plan=[Route(prefix="4", exchange=0)],
     classes=[CallClass(name="plain", aim=SECOND, give_up=9 * SECOND, mean_hold=2 * SECOND)],
@@ -69,10 +69,10 @@
     loop: VirtualLoop, log: Log, udp: bool = False, udp_too: bool = False, **changes: Any
 ) -> tuple[CallServer, Exchange]:
     """Call server 0 and stand-in exchange 1 with a trunk group of 20 circuits."""
-    plant = Plant(number=1, circuits={0: 20}, numbers={"4001": 1}, busy_lines=0.0)
-    exchange = Exchange(loop, plant, Random(1), None)
-    exchange.host = "127.1.0.2"
-    await exchange.listen(exchange.host)
+    config = ExchangeConfig(number=1, group_sizes={0: 20}, dial_plan={"4001": 1}, busy_share=0.0)
+    exchange = Exchange(loop, config, Random(1), None)
+    exchange.local_host = "127.1.0.2"
+    await exchange.listen(exchange.local_host)
     if udp:
         await exchange.listen_udp()
     peer = Peer(number=1, address=exchange.address, circuits=20)
@@ -103,21 +103,21 @@
         half_open = [await loop.create_connection(asyncio.Protocol, host, int(port)) for _ in range(10_000)]
         for transport, _ in half_open[::2]:
             transport.write(b"INVITE sip:half")
-        callers = Callers(loop, server.address, Random(1), Manners(leaves_early=0.0))
+        callers = Callers(loop, server.address, Random(1), CallerBehaviour(early_hang_up_share=0.0))
         await callers.connect()
-        offers = [callers.offer(PLAIN, "40011234") for _ in range(5)]
+        offers = [callers.offer_call(PLAIN, "40011234") for _ in range(5)]
         await asyncio.sleep(1)
         assert [offer.outcome for offer in offers] == ["stands"] * 5
         await asyncio.sleep(8)
         assert sum(t.is_closing() for t, _ in half_open) == 10_000, (
             "half-open connections are closed after `first_message`"
         )
-        assert len(callers.flows_up) == 4, "connections that have sent messages stay open"
+        assert len(callers.open_flows) == 4, "connections that have sent messages stay open"
         excess = [await loop.create_connection(asyncio.Protocol, host, int(port)) for _ in range(10_200)]
         await asyncio.sleep(0.1)
         assert sum(t.is_closing() for t, _ in excess) > 90, "connections above the limit are closed"
         server.kill()
-        exchange.die()
+        exchange.kill()
 
     on_virtual_loop(run(), loop)
     assert 0 < log.events().count("idle connection closed") < 20, (
@@ -154,22 +154,27 @@
     async def run() -> None:
         timers = Timers(t1=100_000_000, t2=800_000_000, t4=SECOND)
         server, exchange = await start_server_and_exchange(loop, log, udp=True, timers=timers)
-        exchange.transactions.times = Times(timers.t1, timers.t2, timers.t4)
-        callers = Callers(loop, server.address, Random(2), Manners(leaves_early=0.0, patience=8.0, redials=0))
+        exchange.transactions.times = BaseTimes(timers.t1, timers.t2, timers.t4)
+        callers = Callers(
+            loop,
+            server.address,
+            Random(2),
+            CallerBehaviour(early_hang_up_share=0.0, give_up_time=8.0, max_redials=0),
+        )
         await callers.connect()
         offers = []
         for _ in range(60):
-            offers.append(callers.offer(PLAIN, "40011234"))
+            offers.append(callers.offer_call(PLAIN, "40011234"))
             await asyncio.sleep(0.4)
         await asyncio.sleep(30)
         assert server.engine is not None
         standing = sum(a.outcome == "stands" for a in offers)
-        finals = sum(callers.finals.values())
-        assert finals == len(offers) and standing > 40, (finals, standing, callers.finals)
-        assert not server.engine.calls and server.engine.ledgers[1].free == 20
-        assert not exchange.trunks[0].busy and not exchange.tally.circuit_faults
+        finals = sum(callers.final_counts.values())
+        assert finals == len(offers) and standing > 40, (finals, standing, callers.final_counts)
+        assert not server.engine.calls and server.engine.trunk_groups[1].free == 20
+        assert not exchange.trunk_groups[0].holders and not exchange.counters.circuit_faults
         server.kill()
-        exchange.die()
+        exchange.kill()
 
     on_virtual_loop(run(), loop)
 
@@ -210,16 +215,14 @@
         assert drops_left == [0] and len(oks) > 1, (
             "the 200 is resent until the ACK; the first three were dropped"
         )
-        assert exchange.tally.set_ups == 1, "the resent INVITE does not start a second call"
-        phone.sendto(
-            acknowledge(invite, oks[0][1], "SIP/2.0/UDP p;branch=z9hG4bKu2").encode(), server_address
-        )
+        assert exchange.counters.set_ups == 1, "the resent INVITE does not start a second call"
+        phone.sendto(make_ack(invite, oks[0][1], "SIP/2.0/UDP p;branch=z9hG4bKu2").encode(), server_address)
         await asyncio.sleep(1)
         count = len(received)
         await asyncio.sleep(20)
         assert len(received) == count, "nothing is resent after the ACK"
         server.kill()
-        exchange.die()
+        exchange.kill()
 
     on_virtual_loop(run(), loop)
 
@@ -236,7 +239,7 @@
                 links.append(loop.time())
                 loop.call_later(0.005, transport.abort)
 
-        exchange.die()
+        exchange.kill()
         host, port = split_address(exchange.address)
         await loop.create_server(ResettingPeer, host, port)
         await asyncio.sleep(20)
@@ -266,7 +269,7 @@
                 await asyncio.sleep(40)  # longer than 64 x T1, after which the transactions have ended
         assert len(server.datagram_flows) == len(server.datagram_peers) <= 101
         server.kill()
-        exchange.die()
+        exchange.kill()
 
     on_virtual_loop(run(), loop)
 
@@ -287,14 +290,14 @@
         )  # fmt: skip
         client.start()
         await asyncio.sleep(1)
-        register.change(Entry("10.0.0.2:1", 2, started=loop.time()))
+        register.update_exchange(Entry("10.0.0.2:1", 2, started=loop.time()))
         await asyncio.sleep(1)
-        register.gen += 1  # a change that is not sent
-        register.change(Entry("10.0.0.3:1", 3))
+        register.generation += 1  # a change that is not sent
+        register.update_exchange(Entry("10.0.0.3:1", 3))
         await asyncio.sleep(3)
-        register.fall_silent(20)
+        register.stop_answering(20)
         await asyncio.sleep(40)
-        register.change(Entry("10.0.0.1:1", 1, "gone"))
+        register.update_exchange(Entry("10.0.0.1:1", 1, "gone"))
         await asyncio.sleep(1)
         client.stop()
         register.close()
--- a/tests/test_sip.py
+++ b/tests/test_sip.py
@@ -9,7 +9,14 @@
 from eiderstep.sip import fields
 from eiderstep.sip.message import Message, get_param, request, response, uri_parts
 from eiderstep.sip.parser import BadMessage, Limits, Parser, parse_datagram
-from eiderstep.sip.transaction import Answer, NewRequest, NoAnswer, State, Times, Transactions
+from eiderstep.sip.transaction import (
+    BaseTimes,
+    NewRequest,
+    ResponseReceived,
+    TransactionFailed,
+    TransactionLayer,
+    TransactionState,
+)
 
 MS = 1_000_000
 GOOD = (
@@ -172,13 +179,17 @@
 def test_load_reports_and_waits_survive_writing_and_reading() -> None:
     invite = Parser().feed(GOOD)[0]
     assert isinstance(invite, Message)
-    for load in (fields.Load(reduce=0.4), fields.Load(rate=12.5, waiting=3.0), fields.Load()):
+    for load in (
+        fields.OverloadReport(reduction=0.4),
+        fields.OverloadReport(max_rate=12.5, queued_set_ups=3.0),
+        fields.OverloadReport(),
+    ):
         answer = response(invite, 200, "t")
-        fields.add_load(answer, load)
-        assert fields.read_load(answer) == load and answer.branch == "z9hG4bK1"
+        fields.add_overload_report(answer, load)
+        assert fields.read_overload_report(answer) == load and answer.branch == "z9hG4bK1"
     fields.write_wait(answer, 1_250 * MS)
     assert answer.get("retry-after") == "2" and fields.read_wait(answer) == 1_250 * MS
-    answer.set(fields.PAUSE, None)
+    answer.set(fields.PAUSE_HEADER, None)
     assert fields.read_wait(answer) == 2_000 * MS
     answer.set("retry-after", "soon")
     assert fields.read_wait(answer) == 0
@@ -194,18 +205,18 @@
     )  # fmt: skip
 
 
-def retransmit_times(layer: Transactions, until: int) -> list[int]:
+def retransmit_times(layer: TransactionLayer, until: int) -> list[int]:
     """The times, in units of T1, at which the layer sends something up to `until` (ns)."""
     times: list[int] = []
     layer.out.clear()
     while (due := layer.next_due()) is not None and due <= until:
-        layer.due(due)
+        layer.run_due_timers(due)
         times += [due // layer.times.t1] * len(layer.out)
         layer.out.clear()
     return times
 
 
-T1 = Times().t1
+T1 = BaseTimes().t1
 
 
 @pytest.mark.parametrize(
@@ -218,27 +229,29 @@
     ],
 )
 def test_client_retransmits_by_timers_a_and_e(method: str, provisional: bool, expected: list[int]) -> None:
-    layer = Transactions()
+    layer = TransactionLayer()
     tx = layer.send(0, 1, make_request(method), reliable=False)
     if provisional:
         layer.receive(0, 1, response(tx.request, 100), False)
     assert retransmit_times(layer, 64 * T1) == expected
-    timed_out = [e for e in layer.events if isinstance(e, NoAnswer)]
+    timed_out = [e for e in layer.events if isinstance(e, TransactionFailed)]
     # An INVITE in state Proceeding has no timeout of its own; everything else times out after 64 x T1.
     assert len(timed_out) == (0 if method == "INVITE" and provisional else 1)
 
 
 def test_reliable_transport_has_no_retransmits_but_timers_b_and_f() -> None:
     for method in ("INVITE", "OPTIONS"):
-        layer = Transactions()
+        layer = TransactionLayer()
         layer.send(0, 1, make_request(method))
         assert retransmit_times(layer, 64 * T1 - 1) == [] and not layer.events
-        layer.due(64 * T1)
-        assert [type(e) for e in layer.events] == [NoAnswer] and not layer.clients and not layer.by_flow
+        layer.run_due_timers(64 * T1)
+        assert (
+            [type(e) for e in layer.events] == [TransactionFailed] and not layer.clients and not layer.by_flow
+        )
 
 
 def test_invite_client_sends_ack_for_failure_and_for_its_repeat_during_timer_d() -> None:
-    layer = Transactions()
+    layer = TransactionLayer()
     tx = layer.send(0, 1, make_request(), reliable=False)
     layer.out.clear()
     busy = response(tx.request, 486, "far")
@@ -246,14 +259,14 @@
         layer.receive(10, 1, busy, False)
     acks = [data for _, data in layer.out]
     assert len(acks) == 2 and all(a.startswith(b"ACK sip:1@x") and b"tag=far" in a for a in acks)
-    assert sum(isinstance(e, Answer) for e in layer.events) == 1
-    layer.due(10 + 64 * T1)
-    assert tx.state is State.TERMINATED and not layer.clients
+    assert sum(isinstance(e, ResponseReceived) for e in layer.events) == 1
+    layer.run_due_timers(10 + 64 * T1)
+    assert tx.state is TransactionState.TERMINATED and not layer.clients
 
 
 def test_invite_server_retransmits_final_response_until_ack() -> None:
-    for status, state in ((486, State.COMPLETED), (200, State.ACCEPTED)):
-        layer = Transactions()
+    for status, state in ((486, TransactionState.COMPLETED), (200, TransactionState.ACCEPTED)):
+        layer = TransactionLayer()
         layer.receive(0, 1, make_request(), False)
         tx = layer.events.pop().tx  # type: ignore[union-attr]
         assert layer.respond(0, tx, response(tx.request, status, "t")) and tx.state is state
@@ -267,30 +280,32 @@
         ack = make_request("ACK", "z9hG4bKt" if status > 299 else "z9hG4bKother")
         ack.headers["cseq"] = ["1 ACK"]
         layer.receive(16 * T1, 1, ack, False)
-        assert tx.state is State.CONFIRMED and retransmit_times(layer, 60 * T1) == []
-        layer.due(300 * T1)
+        assert tx.state is TransactionState.CONFIRMED and retransmit_times(layer, 60 * T1) == []
+        layer.run_due_timers(300 * T1)
         assert not layer.servers and not layer._awaiting_ack
 
 
 def test_missing_ack_is_reported_for_2xx_only() -> None:
     for status, reports in ((200, 1), (486, 0)):
-        layer = Transactions()
+        layer = TransactionLayer()
         layer.receive(0, 1, make_request())
         tx = layer.events.pop().tx  # type: ignore[union-attr]
         layer.respond(0, tx, response(tx.request, status, "t"))
-        layer.due(64 * T1)
-        assert sum(isinstance(e, NoAnswer) for e in layer.events) == reports and not layer.servers
+        layer.run_due_timers(64 * T1)
+        assert sum(isinstance(e, TransactionFailed) for e in layer.events) == reports and not layer.servers
 
 
 def test_lost_connection_fails_its_own_transactions_only() -> None:
-    layer = Transactions()
+    layer = TransactionLayer()
     txs = [layer.send(0, flow, make_request(branch=f"z9hG4bK{flow}{i}")) for flow in (1, 2) for i in range(3)]
-    layer.broken(5, 1)
-    assert [e.tx for e in layer.events if isinstance(e, NoAnswer)] == txs[:3] and set(layer.by_flow) == {2}
+    layer.connection_lost(5, 1)
+    assert [e.tx for e in layer.events if isinstance(e, TransactionFailed)] == txs[:3] and set(
+        layer.by_flow
+    ) == {2}
 
 
 def test_requests_without_magic_cookie_are_matched_by_dialog() -> None:
-    layer = Transactions()
+    layer = TransactionLayer()
     first, second = make_request(branch="1"), make_request(branch="1")
     second.headers["call-id"] = ["other"]
     for message in (first, first, second):
--- a/tests/test_sizing.py
+++ b/tests/test_sizing.py
@@ -21,17 +21,17 @@
 from typer.testing import CliRunner
 
 from eiderstep.cli import app
-from eiderstep.lab import sizing as lab
-from eiderstep.lab.arrivals import Kind, Outage, Redials, daily, play
+from eiderstep.lab import sizing_runs as lab
+from eiderstep.lab.arrivals import Outage, Redials, TrafficKind, daily_profile, simulate_group
 from eiderstep.sizing import erlang, mixed, network, overflow
 from eiderstep.sizing.bucket import Bucket, Counts
-from eiderstep.sizing.estimate import Load, Verdict, dispersion, judge, loads
+from eiderstep.sizing.estimate import Load, Verdict, dispersion, estimate_loads, judge
 from eiderstep.sizing.meter import Meter
 from eiderstep.sizing.mixed import Stream
 from eiderstep.sizing.network import Network, pair
 from eiderstep.sizing.recommend import advise, circuits_for
 from eiderstep.sizing.store import Store
-from eiderstep.sizing.summary import Wanted, explain, summarize
+from eiderstep.sizing.summary import SizingGoals, explain, summarize
 
 SECOND = 1_000_000_000
 HOUR = 3600 * SECOND
@@ -223,7 +223,7 @@
         rng = Random(seed)
         net = Network(range(3), [1], {p: [rng.uniform(0.5, 4.0)] for p in pairs}, dict.fromkeys(pairs, 1))
         target = [0.03]
-        plan = network.size(net, target)
+        plan = network.size_groups(net, target)
         assert plan.point.worst() <= target[0]
         fewest = min(
             sum(sizes) for sizes in itertools.product(range(1, 11), repeat=3)
@@ -237,25 +237,25 @@
 
 def test_pair_without_group_is_sized_over_tandem() -> None:
     net = Network(range(3), [1], {(0, 1): [2.0], (0, 2): [1.0], (1, 2): [1.0]}, {(0, 2): 1, (1, 2): 1}, 0)
-    plan = network.size(net, [0.02])
+    plan = network.size_groups(net, [0.02])
     assert plan.point.lost[0, 1][0] <= 0.02 and set(plan.circuits) == {(0, 2), (1, 2)}
     with pytest.raises(ValueError, match="no way|no group"):
-        network.size(Network(range(3), [1], {(0, 1): [2.0]}, {(0, 2): 1}), [0.02])
+        network.size_groups(Network(range(3), [1], {(0, 1): [2.0]}, {(0, 2): 1}), [0.02])
 
 
 # -- estimation --------------------------------------------------------------------------------------------
 
 
 def simulate_buckets(
-    kinds: list[Kind], circuits: int, hours: float, seed: int, **options: object
+    kinds: list[TrafficKind], circuits: int, hours: float, seed: int, **options: object
 ) -> list[Bucket]:
     """Buckets of a simulated group; the simulation uses none of the formulas under test."""
     meter, buckets = Meter({1: circuits}, len(kinds), 0), list[Bucket]()
 
     def roll(at: float) -> None:
-        buckets.extend(b for _, b in meter.roll(int(at * SECOND), int(at * SECOND)))
+        buckets.extend(b for _, b in meter.close_buckets(int(at * SECOND), int(at * SECOND)))
 
-    play(kinds, circuits, hours * 3600, seed, meter, roll=roll, **options)  # type: ignore[arg-type]
+    simulate_group(kinds, circuits, hours * 3600, seed, meter, on_period=roll, **options)  # type: ignore[arg-type]
     return buckets
 
 
@@ -265,9 +265,9 @@
     All tries times the holding time would overestimate this load by a third or more.
     """
     buckets = simulate_buckets(
-        [Kind(12)], 11, 12, 5, redials=Redials(0.7), outages=[Outage(3600, 4 * 3600, 0.3, 0.4)]
+        [TrafficKind(12)], 11, 12, 5, redials=Redials(0.7), outages=[Outage(3600, 4 * 3600, 0.3, 0.4)]
     )
-    (load,) = loads(buckets, 1)
+    (load,) = estimate_loads(buckets, 1)
     assert load.low <= 12 <= load.high and load.high - load.low < 2.5
     tries_per_second = sum(b.classes[0].first + b.classes[0].redials for b in buckets) / (12 * 3600)
     assert tries_per_second * load.hold > 12 * 1.25
@@ -282,18 +282,18 @@
 @pytest.mark.parametrize(
     "kinds, circuits, hours, verdict",
     [
-        ([Kind(8)], 8, 8, Verdict.TOO_SMALL),
-        ([Kind(8)], 20, 8, Verdict.ENOUGH),
-        ([Kind(8)], 15, 0.4, Verdict.CANNOT_TELL),
-        ([Kind(0.3)], 1, 12, Verdict.TOO_SMALL),
-        ([Kind(0.02)], 3, 40, Verdict.ENOUGH),
-        ([Kind(1, width=3)], 4, 8, Verdict.TOO_SMALL),
-        ([Kind(0.0)], 4, 8, Verdict.CANNOT_TELL),
-        ([Kind(10, peaked=6)], 17, 12, Verdict.TOO_SMALL),
+        ([TrafficKind(8)], 8, 8, Verdict.TOO_SMALL),
+        ([TrafficKind(8)], 20, 8, Verdict.ENOUGH),
+        ([TrafficKind(8)], 15, 0.4, Verdict.CANNOT_TELL),
+        ([TrafficKind(0.3)], 1, 12, Verdict.TOO_SMALL),
+        ([TrafficKind(0.02)], 3, 40, Verdict.ENOUGH),
+        ([TrafficKind(1, width=3)], 4, 8, Verdict.TOO_SMALL),
+        ([TrafficKind(0.0)], 4, 8, Verdict.CANNOT_TELL),
+        ([TrafficKind(10, dispersion=6)], 17, 12, Verdict.TOO_SMALL),
     ],
 )  # fmt: skip
 def test_verdicts_on_simulated_groups(
-    kinds: list[Kind], circuits: int, hours: float, verdict: Verdict
+    kinds: list[TrafficKind], circuits: int, hours: float, verdict: Verdict
 ) -> None:
     found = judge(simulate_buckets(kinds, circuits, hours, 3), [k.width for k in kinds], [0.02])
     assert found.verdict is verdict, found
@@ -324,7 +324,7 @@
 
 def test_no_verdict_from_censored_or_empty_buckets() -> None:
     all_censored = judge([hour_bucket(h, 100, 60, in_service=4 * HOUR) for h in range(9)], [1], [0.02])
-    assert all_censored.verdict is Verdict.CANNOT_TELL and "censored" in all_censored.why
+    assert all_censored.verdict is Verdict.CANNOT_TELL and "censored" in all_censored.reason
     assert judge([], [1], [0.02]).verdict is Verdict.CANNOT_TELL
     no_tries = judge([hour_bucket(h, 0) for h in range(9)], [1], [0.02])
     assert no_tries.verdict is Verdict.CANNOT_TELL and no_tries.measured == [None]
@@ -341,11 +341,11 @@
 def test_fully_blocked_class_is_too_small_without_advice() -> None:
     counts = Counts(first=50, blocked_first=50)
     buckets = [Bucket(h * HOUR, HOUR, 2, 0, 2 * HOUR, classes=(counts,)) for h in range(4)]
-    found = summarize(1, buckets, Wanted(["wide"], [3], [0.02]))
-    assert found.judgement.verdict is Verdict.TOO_SMALL and "none of 200" in found.judgement.why
+    found = summarize(1, buckets, SizingGoals(["wide"], [3], [0.02]))
+    assert found.judgement.verdict is Verdict.TOO_SMALL and "none of 200" in found.judgement.reason
     assert found.advice is None, "without a holding time there is no load to size for"
     no_call_ended = judge([Bucket(0, HOUR, 9, 0, 9 * HOUR, classes=(Counts(first=9),))], [1], [0.02])
-    assert no_call_ended.verdict is Verdict.CANNOT_TELL and "ended" in no_call_ended.why
+    assert no_call_ended.verdict is Verdict.CANNOT_TELL and "ended" in no_call_ended.reason
 
 
 def test_load_of_other_pairs_is_included_in_size() -> None:
@@ -353,8 +353,8 @@
         own = hour_bucket(h, 36)
         return replace(own, classes=(replace(own.classes[0], for_others=others),))
 
-    own_only = summarize(1, [hour(h, 0) for h in range(24)], Wanted(["a"], [1], [0.02]))
-    with_others = summarize(1, [hour(h, 360) for h in range(24)], Wanted(["a"], [1], [0.02]))
+    own_only = summarize(1, [hour(h, 0) for h in range(24)], SizingGoals(["a"], [1], [0.02]))
+    with_others = summarize(1, [hour(h, 360) for h in range(24)], SizingGoals(["a"], [1], [0.02]))
     assert own_only.advice is not None and with_others.advice is not None
     assert own_only.advice.circuits == circuits_for([1.0], [1], [0.02], 1.0)
     assert with_others.advice.circuits == circuits_for([11.0], [1], [0.02], 1.0)
@@ -363,7 +363,8 @@
         "ten circuits are too few for eleven erlangs, including those of other pairs"
     )
     assert any(
-        "other pairs send 10.00 erlangs" in line for line in explain(with_others, Wanted(["a"], [1], [0.02]))
+        "other pairs send 10.00 erlangs" in line
+        for line in explain(with_others, SizingGoals(["a"], [1], [0.02]))
     )
 
 
@@ -376,8 +377,8 @@
             for h in range(24)
         ]  # fmt: skip
 
-    without_outage = loads(day(0, False) + day(1, False), 1)[0]
-    with_outage = loads(day(0, False) + day(1, True), 1)[0]
+    without_outage = estimate_loads(day(0, False) + day(1, False), 1)[0]
+    with_outage = estimate_loads(day(0, False) + day(1, True), 1)[0]
     assert with_outage.rate == pytest.approx(without_outage.rate, rel=1e-9)
 
 
@@ -408,7 +409,7 @@
 
 
 def test_daily_variation_does_not_bias_load_estimate() -> None:
-    (load,) = loads(simulate_buckets([Kind(10)], 30, 48, 2, profile=daily()), 1)
+    (load,) = estimate_loads(simulate_buckets([TrafficKind(10)], 30, 48, 2, profile=daily_profile()), 1)
     assert load.load == pytest.approx(10, rel=0.06)
 
 
@@ -417,18 +418,22 @@
 
 def test_meter_integrates_times_and_recognises_redials_by_number() -> None:
     meter = Meter({1: 10}, 1, 0, redial_window=60 * SECOND)
-    assert not meter.tried(0, 1, 0, "sip:1", False)
-    meter.blocked(1, 0, False, True)
-    meter.gave_up(0, 0, "sip:1")
-    assert meter.tried(5 * SECOND, 1, 0, "sip:1", False), "a call to a number refused 5 s ago is a redial"
-    assert not meter.tried(6 * SECOND, 1, 0, "sip:1", False), "a refusal makes only one later call a redial"
-    assert meter.tried(7 * SECOND, 1, 0, "sip:9", True), "a call marked by its caller is a redial"
-    meter.level(10 * SECOND, 1, 10, 10)
-    meter.stands(10 * SECOND, 1, 0)
-    meter.level(20 * SECOND, 1, 4, 8)
-    meter.link(30 * SECOND, 1, False)
-    meter.ended(40 * SECOND, 1, 0, 30 * SECOND)
-    ((_, found),) = meter.roll(60 * SECOND, 100 * SECOND)
+    assert not meter.record_try(0, 1, 0, "sip:1", False)
+    meter.record_blocked(1, 0, False, True)
+    meter.record_failed_call(0, 0, "sip:1")
+    assert meter.record_try(5 * SECOND, 1, 0, "sip:1", False), (
+        "a call to a number refused 5 s ago is a redial"
+    )
+    assert not meter.record_try(6 * SECOND, 1, 0, "sip:1", False), (
+        "a refusal makes only one later call a redial"
+    )
+    assert meter.record_try(7 * SECOND, 1, 0, "sip:9", True), "a call marked by its caller is a redial"
+    meter.set_circuit_counts(10 * SECOND, 1, 10, 10)
+    meter.record_call_standing(10 * SECOND, 1, 0)
+    meter.set_circuit_counts(20 * SECOND, 1, 4, 8)
+    meter.set_link_up(30 * SECOND, 1, False)
+    meter.record_call_ended(40 * SECOND, 1, 0, 30 * SECOND)
+    ((_, found),) = meter.close_buckets(60 * SECOND, 100 * SECOND)
     assert (found.start, found.length) == (40 * SECOND, 60 * SECOND)
     assert found.busy == (10 * 10 + 4 * 40) * SECOND and found.in_service == (10 * 20 + 8 * 40) * SECOND
     assert (found.full, found.out, found.censored) == (10 * SECOND, 30 * SECOND, True)
@@ -436,30 +441,33 @@
     assert (counts.first, counts.redials, counts.blocked_first, counts.overflowed) == (2, 2, 1, 1)
     assert (counts.held, counts.hold, counts.standing) == (1, 30 * SECOND, 30 * SECOND)
     assert meter.holding_times(1, 0).get_value_at_percentile(50) == pytest.approx(30_000, rel=0.02)
-    assert list(meter.roll(60 * SECOND, 0)) == []
+    assert list(meter.close_buckets(60 * SECOND, 0)) == []
     restarted = Meter({1: 10}, 1, 0)
-    restarted.resume(meter.encoded() | {(9, 0): b"of a group that is gone", (1, 0): meter.encoded()[1, 0]})
-    restarted.ended(0, 1, 0, 30 * SECOND)
+    restarted.restore_holding_times(
+        meter.encode_holding_times()
+        | {(9, 0): b"of a group that is gone", (1, 0): meter.encode_holding_times()[1, 0]}
+    )
+    restarted.record_call_ended(0, 1, 0, 30 * SECOND)
     assert restarted.holding_times(1, 0).get_total_count() == 2, "holding times are kept over a restart"
-    restarted.resume({(1, 0): b"damaged"})
+    restarted.restore_holding_times({(1, 0): b"damaged"})
     assert restarted.holding_times(1, 0).get_total_count() == 2
     for n in range(20_000):
-        meter.gave_up(61 * SECOND, 0, f"sip:{n}")
+        meter.record_failed_call(61 * SECOND, 0, f"sip:{n}")
     assert len(meter.refused_at) == 10_000, "the list of refused numbers is bounded"
 
 
 def test_store_survives_restart_and_clock_set_back(tmp_path: Path) -> None:
     path = tmp_path / "m.db"
     store = Store(path)
-    store.describe(exchange="4")
-    store.add([(1, hour_bucket(5, 10)), (2, hour_bucket(5, 20))])
-    store.add([(1, hour_bucket(3, 30))])  # clock set back two hours: added, nothing overwritten
-    store.add([(1, hour_bucket(5, 40))])
-    store.keep_holds({(1, 0): b"first"})
-    store.keep_holds({(1, 0): b"latest", (2, 0): b"other"})
+    store.write_meta(exchange="4")
+    store.add_buckets([(1, hour_bucket(5, 10)), (2, hour_bucket(5, 20))])
+    store.add_buckets([(1, hour_bucket(3, 30))])  # clock set back two hours: added, nothing overwritten
+    store.add_buckets([(1, hour_bucket(5, 40))])
+    store.write_holding_times({(1, 0): b"first"})
+    store.write_holding_times({(1, 0): b"latest", (2, 0): b"other"})
     store.close()
     store = Store(path)
-    assert store.holds() == {(1, 0): b"latest", (2, 0): b"other"}
+    assert store.read_holding_times() == {(1, 0): b"latest", (2, 0): b"other"}
     assert store.read_meta() == {"exchange": "4"} and store.groups() == [1, 2]
     assert [b.classes[0].first for b in store.buckets(1)] == [10, 30, 40]
     assert store.buckets(2) == [hour_bucket(5, 20)]
@@ -472,9 +480,9 @@
     for n in range(3 * 24 * 60):
         out = minute if 100 <= n < 110 else 0
         counts = (Counts(first=2, held=1, hold=SECOND, standing=SECOND),)
-        store.add([(1, Bucket(n * minute, minute, 10, 5 * minute, 10 * minute, out, classes=counts))])
+        store.add_buckets([(1, Bucket(n * minute, minute, 10, 5 * minute, 10 * minute, out, classes=counts))])
     before = store.buckets(1)
-    fewer = store.thin(3 * 24 * HOUR)
+    fewer = store.downsample(3 * 24 * HOUR)
     after = store.buckets(1)
     assert fewer == len(before) - len(after) and len(after) < 1440 + 200 + 20
     for name in ("length", "busy", "in_service", "out"):
@@ -482,7 +490,7 @@
     assert sum(b.classes[0].first for b in after) == 2 * 3 * 24 * 60
     assert sum(b.length for b in after if b.censored) == 10 * minute
     assert [b.start for b in after] == sorted(b.start for b in after)
-    assert store.thin(3 * 24 * HOUR) == 0, "a second run finds nothing to join"
+    assert store.downsample(3 * 24 * HOUR) == 0, "a second run finds nothing to join"
 
 
 @pytest.mark.parametrize("damage", ["garbage", "truncated", "overwritten"])
@@ -490,7 +498,7 @@
     path = tmp_path / "m.db"
     store = Store(path)
     for h in range(200):
-        store.add([(1, hour_bucket(h, 10))])
+        store.add_buckets([(1, hour_bucket(h, 10))])
     store.db.execute("PRAGMA wal_checkpoint(TRUNCATE)")
     store.close()
     intact = path.read_bytes()
@@ -500,8 +508,8 @@
         "overwritten": intact[:5000] + b"\xff" * 20_000 + intact[25_000:],
     }[damage])  # fmt: skip
     recreated = Store(path)
-    assert recreated.put_aside is not None and recreated.put_aside.exists() and recreated.groups() == []
-    recreated.add([(1, hour_bucket(1, 5))])
+    assert recreated.damaged_path is not None and recreated.damaged_path.exists() and recreated.groups() == []
+    recreated.add_buckets([(1, hour_bucket(1, 5))])
     assert len(recreated.buckets(1)) == 1
 
 
@@ -514,20 +522,21 @@
 
 
 CASES = [
-    lab.Case("one circuit", (Kind(0.4, hold=3),), 1, 240),
-    lab.Case("wide on four", (Kind(0.5, hold=3, width=3),), 4, 240),
-    lab.Case("redials and an outage", (Kind(5, hold=3),), 5, 240, redials=2, outages=(Outage(80, 120, 0.4),)),
+    lab.Case("one circuit", (TrafficKind(0.4, mean_hold=3),), 1, 240),
+    lab.Case("wide on four", (TrafficKind(0.5, mean_hold=3, width=3),), 4, 240),
+    lab.Case("redials and an outage", (TrafficKind(5, mean_hold=3),), 5, 240, redials=2,
+             outages=(Outage(80, 120, 0.4),)),
 ]  # fmt: skip
 
 
 @pytest.mark.parametrize("case", CASES, ids=lambda c: c.name)
 def test_call_server_measures_the_offered_load(case: lab.Case) -> None:
-    outcome = lab.run(case, 2)
-    assert outcome.verdict.kept and not (outcome.left_calls or outcome.left_circuits or outcome.errors)
-    found = loads(outcome.buckets, len(case.kinds))
+    outcome = lab.run_case(case, 2)
+    assert outcome.audit_report.passed and not (outcome.left_calls or outcome.left_circuits or outcome.errors)
+    found = estimate_loads(outcome.buckets, len(case.kinds))
     for load, kind in zip(found, case.kinds, strict=True):
         assert load.low * 0.9 <= kind.load <= load.high * 1.1 and load.hold == pytest.approx(
-            kind.hold, rel=0.35
+            kind.mean_hold, rel=0.35
         )
     judged = judge(outcome.buckets, [k.width for k in case.kinds], [0.02])
     assert judged.verdict in (Verdict.TOO_SMALL, Verdict.CANNOT_TELL)
@@ -537,12 +546,12 @@
 @pytest.mark.parametrize("circuits", [4, 30])
 def test_resizing_to_advised_size_cuts_no_standing_calls(circuits: int) -> None:
     """One group grows, one shrinks: no call is cut, no circuit stays busy and no rule is broken."""
-    case = lab.Case("resized", (Kind(6, hold=3),), circuits, 240, after=150)
-    outcome = lab.run(case, 4)
-    assert outcome.verdict.kept and not (outcome.left_calls or outcome.left_circuits or outcome.errors)
-    assert outcome.advised is not None and 9 <= outcome.advised.circuits <= 13 and not outcome.cut
-    assert {b.circuits for b in outcome.after} == {outcome.advised.circuits}
-    assert outcome.lost(outcome.after, 0) < 0.08
+    case = lab.Case("resized", (TrafficKind(6, mean_hold=3),), circuits, 240, seconds_after_resize=150)
+    outcome = lab.run_case(case, 4)
+    assert outcome.audit_report.passed and not (outcome.left_calls or outcome.left_circuits or outcome.errors)
+    assert outcome.advice is not None and 9 <= outcome.advice.circuits <= 13 and not outcome.cut_calls
+    assert {b.circuits for b in outcome.buckets_after_resize} == {outcome.advice.circuits}
+    assert outcome.loss_share(outcome.buckets_after_resize, 0) < 0.08
 
 
 SETTINGS_SCRIPT = """
@@ -564,7 +573,7 @@
     assert no_store.exit_code == 2 and "has the call server run" in no_store.output
     store = Store(store_path)
     for h in range(48):
-        store.add([(1, hour_bucket(h, 360, 90)), (2, hour_bucket(h, 30))])
+        store.add_buckets([(1, hour_bucket(h, 360, 90)), (2, hour_bucket(h, 30))])
     before = store.buckets(1)
     groups = json.loads(runner.invoke(app, ["size", "recommend", str(settings_path), "--json"]).output)
     assert [g["verdict"] for g in groups] == ["too small", "enough"]
--- a/tests/test_stranger.py
+++ b/tests/test_stranger.py
@@ -11,25 +11,25 @@
 import uvloop
 
 from eiderstep.config.schema import Caller, Peer, Route, Trust
-from eiderstep.server.node import CallServer
+from eiderstep.server.call_server import CallServer
 from eiderstep.sip.message import request
-from eiderstep.standin.callers import Callers, Class, Manners
-from eiderstep.standin.exchange import Exchange, Plant
+from eiderstep.standin.callers import CallerBehaviour, CallerClass, Callers
+from eiderstep.standin.exchange import Exchange, ExchangeConfig
 from eiderstep.standin.stranger import (
     ATTACKS,
     CALLER,
     EXCHANGE,
-    NOBODY,
+    UNKNOWN,
     Attack,
-    Stranger,
+    Attacker,
     Victim,
-    coded,
+    encode_message,
 )
-from eiderstep.trust.rules import RULES, Act, Rule
+from eiderstep.trust.rules import RULES, Permission, Rule
 from tests.test_server import SETTINGS, Log
 
 CALLS = 6
-LONG = Class("plain", 1.0, 1.0, 600.0)
+LONG = CallerClass("plain", 1.0, 1.0, 600.0)
 
 
 class Scene:
@@ -43,10 +43,12 @@
 
     async def start(self) -> None:
         for number in (1, 2):
-            plant = Plant(number=number, circuits={0: 20}, numbers={f"400{number}": number}, context="t")
-            exchange = Exchange(self.loop, plant, Random(number), None)
-            exchange.host = f"127.1.0.{number + 1}"
-            await exchange.listen(exchange.host)
+            config = ExchangeConfig(
+                number=number, group_sizes={0: 20}, dial_plan={f"400{number}": number}, context="t"
+            )
+            exchange = Exchange(self.loop, config, Random(number), None)
+            exchange.local_host = f"127.1.0.{number + 1}"
+            await exchange.listen(exchange.local_host)
             self.exchanges.append(exchange)
         settings = msgspec.structs.replace(
             SETTINGS, listen="127.1.0.1:0", context="t", seed=3,
@@ -56,10 +58,12 @@
         )  # fmt: skip
         self.server = CallServer(self.loop, settings, self.log)
         await self.server.start()
-        self.callers = Callers(self.loop, self.server.address, Random(1), Manners(leaves_early=0.0))
-        self.callers.host = "127.2.0.1"
+        self.callers = Callers(
+            self.loop, self.server.address, Random(1), CallerBehaviour(early_hang_up_share=0.0)
+        )
+        self.callers.local_host = "127.2.0.1"
         await self.callers.connect()
-        offers = [self.callers.offer(LONG, f"40011{n:03}") for n in range(CALLS)]
+        offers = [self.callers.offer_call(LONG, f"40011{n:03}") for n in range(CALLS)]
         while not all(offer.outcome for offer in offers):
             await asyncio.sleep(0.01)
         assert [offer.outcome for offer in offers] == ["stands"] * CALLS
@@ -70,13 +74,13 @@
     def stop(self) -> None:
         self.server.kill()
         for exchange in self.exchanges:
-            exchange.die()
-        self.callers.die()
+            exchange.kill()
+        self.callers.kill()
 
     def victim(self) -> Victim:
-        call = next(iter(self.callers.standing.values()))
+        call = next(iter(self.callers.standing_attempts.values()))
         leg = next(
-            leg for leg in self.exchanges[0].standing()
+            leg for leg in self.exchanges[0].standing_legs()
             if leg.invite.get("session-id") == call.invite.get("session-id")
         )  # fmt: skip
         assert call.dialog is not None and leg.dialog is not None
@@ -92,39 +96,42 @@
         return (
             sorted(engine.dialogs),
             sorted((c.name, c.state.name) for c in engine.calls.values()),
-            {n: (sorted(x.busy), sorted(x.blocked), x.free) for n, x in engine.ledgers.items()},
-            [sorted(e.trunks[0].busy) for e in self.exchanges],
-            [sorted(leg.state for leg in e.legs.values()) for e in self.exchanges],
-            sorted(self.callers.standing),
+            {n: (sorted(x.busy), sorted(x.blocked), x.free) for n, x in engine.trunk_groups.items()},
+            [sorted(e.trunk_groups[0].holders) for e in self.exchanges],
+            [sorted(leg.state for leg in e.inbound_legs.values()) for e in self.exchanges],
+            sorted(self.callers.standing_attempts),
             dict(engine.links),
-            dict(engine.told),
+            dict(engine.reported_circuits),
         )
 
     def circuits_agree(self) -> bool:
         engine = self.server.engine
         assert engine is not None
-        return all(set(engine.ledgers[e.plant.number].busy) == set(e.trunks[0].busy) for e in self.exchanges)
+        return all(
+            set(engine.trunk_groups[e.config.number].busy) == set(e.trunk_groups[0].holders)
+            for e in self.exchanges
+        )
 
     async def attack(self, attack: Attack, n: int) -> dict[int, int]:
         """Make one attack over a new connection; returns the count of each response status."""
         self.connection_count += 1
         host_suffix = f"{self.connection_count // 250}.{self.connection_count % 250 + 1}"
-        host = {NOBODY: f"127.3.{host_suffix}", CALLER: f"127.2.{host_suffix}", EXCHANGE: "127.1.0.3"}[
+        host = {UNKNOWN: f"127.3.{host_suffix}", CALLER: f"127.2.{host_suffix}", EXCHANGE: "127.1.0.3"}[
             attack.sender
         ]
-        stranger = Stranger(self.loop, self.server.address, {}, list, Random(n), 1.0)
+        stranger = Attacker(self.loop, self.server.address, {}, list, Random(n), 1.0)
         connection = await stranger.connect(host)
         assert connection is not None
         # The response to an OPTIONS behind the attack shows that the attack was read, unless it closed the
         # connection.
         probe = request("OPTIONS", "sip:x@x", via=f"SIP/2.0/TCP s;branch=z9hG4bKmark{n}",
                        sender="<sip:s@s>;tag=s", to="<sip:x@x>", call_id=f"mark{n}", cseq=1)  # fmt: skip
-        connection.transport.write(coded(attack.made(self.victim(), n)) + probe.encode())
-        probe_status = 403 if attack.sender == NOBODY else 200
-        expected_count = len(attack.answers[:1]) + 1
+        connection.transport.write(encode_message(attack.make(self.victim(), n)) + probe.encode())
+        probe_status = 403 if attack.sender == UNKNOWN else 200
+        expected_count = len(attack.allowed_statuses[:1]) + 1
         while not connection.lost.is_set() and sum(connection.statuses.values()) < expected_count:
-            connection.came.clear()
-            await asyncio.wait_for(connection.came.wait(), 10)
+            connection.activity.clear()
+            await asyncio.wait_for(connection.activity.wait(), 10)
         found = dict(connection.statuses)
         if not connection.lost.is_set():
             found[probe_status] = found.get(probe_status, 0) - 1
@@ -140,16 +147,18 @@
         before = scene.protected_state()
         for n, name in enumerate(names):
             answers = await scene.attack(ATTACKS[name], n)
-            allowed = ATTACKS[name].answers
+            allowed = ATTACKS[name].allowed_statuses
             as_expected = sum(answers.values()) == len(allowed[:1]) and set(answers) <= set(allowed)
             if not as_expected or scene.protected_state() != before or not scene.circuits_agree():
                 found.append(f"{name}: {answers}")
                 before = scene.protected_state()
-        for call in list(scene.callers.standing.values()):
+        for call in list(scene.callers.standing_attempts.values()):
             scene.callers._hang_up(call)
-        scene.callers.pump()
+        scene.callers.process_events()
         assert scene.server.engine is not None
-        while not found and (scene.server.engine.busy_circuits() or scene.exchanges[0].trunks[0].busy):
+        while not found and (
+            scene.server.engine.busy_circuits() or scene.exchanges[0].trunk_groups[0].holders
+        ):
             await asyncio.sleep(0.01)
     finally:
         scene.stop()
@@ -167,19 +176,21 @@
 
 
 REMOVED_RULES = [
-    (Act.CIRCUITS, "circuits out, by another exchange"),
-    (Act.WITHIN, "BYE, by another caller"),
-    (Act.WITHIN, "BYE as the far end, by another exchange"),
-    (Act.TRANSIT, "seizure, by another exchange"),
-    (Act.CALL, "call, by an exchange"),
-    (Act.ANYTHING, "REGISTER, by nobody"),
+    (Permission.CIRCUITS, "circuits out, by another exchange"),
+    (Permission.WITHIN, "BYE, by another caller"),
+    (Permission.WITHIN, "BYE as the far end, by another exchange"),
+    (Permission.TRANSIT, "seizure, by another exchange"),
+    (Permission.CALL, "call, by an exchange"),
+    (Permission.ANYTHING, "REGISTER, by nobody"),
 ]
 
 
 @pytest.mark.parametrize(("act", "name"), REMOVED_RULES, ids=[name for _, name in REMOVED_RULES])
-def test_detects_harm_when_a_rule_is_removed(monkeypatch: pytest.MonkeyPatch, act: Act, name: str) -> None:
+def test_detects_harm_when_a_rule_is_removed(
+    monkeypatch: pytest.MonkeyPatch, act: Permission, name: str
+) -> None:
     removed = RULES[act]
     monkeypatch.setitem(
-        RULES, act, Rule(removed.status, lambda who, about, own: True, removed.danger, removed.hurts)
+        RULES, act, Rule(removed.status, lambda who, about, own: True, removed.threat, removed.cost)
     )
     assert [found.partition(":")[0] for found in run_attacks([name])] == [name]
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -26,14 +26,14 @@
     Trust,
 )  # fmt: skip
 from eiderstep.lab.clock import VirtualLoop
-from eiderstep.server.node import CallServer
-from eiderstep.server.tls import Keys, Tls
+from eiderstep.server.call_server import CallServer
+from eiderstep.server.tls import Credentials, TlsConnection
 from eiderstep.sip.message import request, split_address
 from eiderstep.sip.parser import Parser
-from eiderstep.standin.callers import Callers, Class, Manners
-from eiderstep.standin.exchange import Exchange, Plant
+from eiderstep.standin.callers import CallerBehaviour, CallerClass, Callers
+from eiderstep.standin.exchange import Exchange, ExchangeConfig
 from eiderstep.trust.authority import Authority, check_key_permissions, read_crl
-from eiderstep.trust.proof import (
+from eiderstep.trust.certificates import (
     CertificateInfo,
     KeysError,
     RevocationList,
@@ -45,7 +45,7 @@
 
 SECOND = 1_000_000_000
 NOW = 1000.0  # start of the virtual clock
-PLAIN = Class("plain", 1.0, 1.0, 30.0)
+PLAIN = CallerClass("plain", 1.0, 1.0, 30.0)
 
 # -- certificates --------------------------------------------------------------------------------------------
 
@@ -102,11 +102,11 @@
 
 
 def test_authority_issues_renews_and_revokes(tmp_path: Path) -> None:
-    authority = Authority.make(tmp_path / "ca", "test", NOW)
+    authority = Authority.create(tmp_path / "ca", "test", NOW)
     first = authority.issue("x1.t", NOW)
     old = first.read_bytes()
     authority.issue("x1.t", NOW + 10)
-    assert first.read_bytes() != old and len(authority.rows()) == 2
+    assert first.read_bytes() != old and len(authority.issued_certificates()) == 2
     assert [oct((tmp_path / "ca" / n).stat().st_mode)[-3:] for n in ("ca.key", "x1.t.key", "x1.t.pem")] == [
         "600", "600", "644",
     ]  # fmt: skip
@@ -119,10 +119,10 @@
 
 
 def test_authority_refuses_invalid_requests(tmp_path: Path) -> None:
-    authority = Authority.make(tmp_path / "ca", "test", NOW, days=1)
-    other = Authority.make(tmp_path / "other", "other", NOW)
+    authority = Authority.create(tmp_path / "ca", "test", NOW, days=1)
+    other = Authority.create(tmp_path / "other", "other", NOW)
     for wrong in (
-        lambda: Authority.make(tmp_path / "ca", "again", NOW),
+        lambda: Authority.create(tmp_path / "ca", "again", NOW),
         lambda: authority.issue("", NOW),
         lambda: authority.issue("x1.t/../../etc", NOW),
         lambda: authority.issue("x1.t", NOW, hours=0),
@@ -130,14 +130,14 @@
         lambda: authority.revoke("nobody", NOW),
         lambda: read_crl(other.folder / "crl.pem", authority.folder / "ca.pem"),
         lambda: read_crl(authority.folder / "ca.pem", authority.folder / "ca.pem"),
-        lambda: Authority(tmp_path / "none").rows(),
+        lambda: Authority(tmp_path / "none").issued_certificates(),
         lambda: check_key_permissions(tmp_path / "none"),
     ):
         with pytest.raises(KeysError) as caught:
             wrong()
         assert "found" in str(caught.value) or "cannot be read" in str(caught.value)
     assert authority.issue("x2.t", NOW, hours=999).exists(), "a certificate does not outlive the CA"
-    assert authority.rows()[-1].ends == NOW + 86_400
+    assert authority.issued_certificates()[-1].ends == NOW + 86_400
     os.chmod(authority.folder / "ca.key", 0o640)
     with pytest.raises(KeysError, match="others can read it"):
         authority.issue("x3.t", NOW)
@@ -174,34 +174,37 @@
     )  # fmt: skip
 
 
-def load_keys(folder: Path, stem: str, ca: Path | None = None) -> Keys:
-    return Keys(tls_settings(folder, stem, ca))
+def load_keys(folder: Path, stem: str, ca: Path | None = None) -> Credentials:
+    return Credentials(tls_settings(folder, stem, ca))
 
 
-def run_handshake(client: Tls, server: Tls) -> None:
+def run_handshake(client: TlsConnection, server: TlsConnection) -> None:
     """Pass bytes between both ends until neither has any to send."""
     data = client.start()
     for _ in range(10):
         server.feed(data)
-        back = server.wanted()
+        back = server.pending_output()
         client.feed(back)
-        data = client.wanted()
+        data = client.pending_output()
         if not back and not data:
             return
 
 
 def test_tls_authenticates_both_ends_and_resumes(tmp_path: Path) -> None:
-    authority = Authority.make(tmp_path, "test", NOW)
+    authority = Authority.create(tmp_path, "test", NOW)
     authority.issue("x0.t", NOW), authority.issue("x1.t", NOW)
     keys0, keys1 = load_keys(tmp_path, "x0.t"), load_keys(tmp_path, "x1.t")
-    client, server = Tls(keys0.client, False), Tls(keys1.server_context, True)
+    client, server = TlsConnection(keys0.client_context, False), TlsConnection(keys1.server_context, True)
     run_handshake(client, server)
-    assert client.done and server.done and not client.failure + server.failure
+    assert client.handshake_done and server.handshake_done and not client.failure + server.failure
     assert client.peer_certificate().names == ("x1.t",) and server.peer_certificate().names == ("x0.t",)
     assert server.feed(client.write(b"a" * 200_000)) == b"a" * 200_000
     assert client.feed(server.write(b"b")) == b"b"
     keys0.save_session("there", client)
-    again, far = Tls(keys0.client, False, keys0.sessions["there"]), Tls(keys1.server_context, True)
+    again, far = (
+        TlsConnection(keys0.client_context, False, keys0.sessions["there"]),
+        TlsConnection(keys1.server_context, True),
+    )
     run_handshake(again, far)
     assert again.resumed and far.resumed, "the second handshake resumes the session"
     assert far.peer_certificate() == server.peer_certificate(), (
@@ -216,38 +219,38 @@
 
 def test_tls_refuses_invalid_handshakes(tmp_path: Path) -> None:
     authority, other = (
-        Authority.make(tmp_path / "a", "test", NOW),
-        Authority.make(tmp_path / "b", "test", NOW),
+        Authority.create(tmp_path / "a", "test", NOW),
+        Authority.create(tmp_path / "b", "test", NOW),
     )
     authority.issue("x0.t", NOW), other.issue("x1.t", NOW)
     server = load_keys(authority.folder, "x0.t").server_context
-    wrong_ca = Tls(load_keys(other.folder, "x1.t", authority.folder).client, False)
-    far = Tls(server, True)
+    wrong_ca = TlsConnection(load_keys(other.folder, "x1.t", authority.folder).client_context, False)
+    far = TlsConnection(server, True)
     run_handshake(wrong_ca, far)
-    assert far.failure and not far.done, "a CA with the same name but another key is rejected"
+    assert far.failure and not far.handshake_done, "a CA with the same name but another key is rejected"
     bare = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
     bare.check_hostname, bare.verify_mode = False, ssl.CERT_NONE
-    far = Tls(server, True)
-    run_handshake(Tls(bare, False), far)
-    assert "did not return a certificate" in far.failure and not far.done
+    far = TlsConnection(server, True)
+    run_handshake(TlsConnection(bare, False), far)
+    assert "did not return a certificate" in far.failure and not far.handshake_done
     old = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
     old.check_hostname, old.verify_mode = False, ssl.CERT_NONE
     old.minimum_version, old.maximum_version = ssl.TLSVersion.TLSv1, ssl.TLSVersion.TLSv1_1
     old.set_ciphers("ALL:@SECLEVEL=0")
-    far = Tls(server, True)
-    run_handshake(Tls(old, False), far)
-    assert far.failure and not far.done, "versions below TLS 1.2 are rejected"
-    far = Tls(server, True)
+    far = TlsConnection(server, True)
+    run_handshake(TlsConnection(old, False), far)
+    assert far.failure and not far.handshake_done, "versions below TLS 1.2 are rejected"
+    far = TlsConnection(server, True)
     far.feed(b"INVITE sip:a@b SIP/2.0\r\n\r\n")
-    assert far.failure and not far.done, "plain SIP on the TLS port is rejected"
-    far = Tls(server, True)
+    assert far.failure and not far.handshake_done, "plain SIP on the TLS port is rejected"
+    far = TlsConnection(server, True)
     for _ in range(20):
         far.feed(b"\x16\x03\x01\x3f\xff" + b"\x01\x00\xff\xff" + b"\0" * 16379)
     assert far.failure and not far.feed(b"x")
 
 
 def test_unusable_keys_are_reported_without_their_contents(tmp_path: Path) -> None:
-    authority = Authority.make(tmp_path, "test", NOW)
+    authority = Authority.create(tmp_path, "test", NOW)
     authority.issue("x0.t", NOW), authority.issue("x1.t", NOW)
     secret = (tmp_path / "x0.t.key").read_text().splitlines()[1]
     keys = load_keys(tmp_path, "x0.t")
@@ -271,7 +274,7 @@
 
     def __init__(self, loop: asyncio.AbstractEventLoop, folder: Path, hours: float = 24.0) -> None:
         self.loop, self.folder, self.hours = loop, folder, hours
-        self.ca = Authority.make(folder, "test", self.epoch() - 100_000)
+        self.ca = Authority.create(folder, "test", self.epoch() - 100_000)
         self.servers: list[CallServer] = []
         self.lines: list[Exchange] = []
         self.callers: list[Callers] = []
@@ -291,8 +294,10 @@
             ports.append(probe.sockets[0].getsockname()[1])
             probe.close()
         for number in range(count):
-            plant = Plant(number=number, circuits={}, numbers={str(4000 + number): number}, capacity=1e5)
-            line = Exchange(self.loop, plant, Random(number), None)
+            config = ExchangeConfig(
+                number=number, group_sizes={}, dial_plan={str(4000 + number): number}, capacity=1e5
+            )
+            line = Exchange(self.loop, config, Random(number), None)
             await line.listen()
             self.lines.append(line)
             others = [n for n in range(count) if n != number]
@@ -323,8 +328,13 @@
             await server.start()
         await asyncio.sleep(1.5)
         for number, server in enumerate(self.servers):
-            callers = Callers(self.loop, server.address, Random(number), Manners(leaves_early=0.0, redials=0))
-            callers.host = f"127.2.0.{number + 1}"
+            callers = Callers(
+                self.loop,
+                server.address,
+                Random(number),
+                CallerBehaviour(early_hang_up_share=0.0, max_redials=0),
+            )
+            callers.local_host = f"127.2.0.{number + 1}"
             await callers.connect()
             self.callers.append(callers)
 
@@ -332,7 +342,7 @@
         for server in self.servers:
             server.kill()
         for line in self.lines:
-            line.die()
+            line.kill()
 
     def events(self, number: int) -> list[str]:
         return self.logs[number].events()
@@ -346,7 +356,7 @@
     ) -> TlsClient:  # fmt: skip
         """Connect to a server with the given key, or without TLS."""
         server = self.servers[number]
-        context = None if plain else load_keys(folder, stem, ca or self.folder).client
+        context = None if plain else load_keys(folder, stem, ca or self.folder).client_context
         where, port = split_address(server.address if plain else server.tls_address)
         _, client = await self.loop.create_connection(
             lambda: TlsClient(context), where, port, local_addr=(host, 0)
@@ -359,7 +369,7 @@
     """A client that sends given bytes over TLS, or plain where `context` is None."""
 
     def __init__(self, context: ssl.SSLContext | None) -> None:
-        self.tls = Tls(context, False) if context is not None else None
+        self.tls = TlsConnection(context, False) if context is not None else None
         self.transport: Any = None
         self.parser, self.statuses, self.lost = Parser(), list[int](), False
 
@@ -371,7 +381,7 @@
     def data_received(self, data: bytes) -> None:
         if self.tls is not None:
             data = self.tls.feed(data)
-            self.transport.write(self.tls.wanted())
+            self.transport.write(self.tls.pending_output())
         self.statuses += [getattr(m, "status", 0) for m in self.parser.feed(data)]
 
     def send(self, data: bytes) -> None:
@@ -410,7 +420,7 @@
 
 
 async def offer_calls(site: Site, count: int, at: int = 0, to: int = 1) -> list[Any]:
-    offers = [site.callers[at].offer(PLAIN, f"{4000 + to}1234") for _ in range(count)]
+    offers = [site.callers[at].offer_call(PLAIN, f"{4000 + to}1234") for _ in range(count)]
     await asyncio.sleep(1)
     return [a.outcome for a in offers]
 
@@ -435,11 +445,11 @@
 
 REJECTED_KEYS: dict[str, tuple[Callable[[Site, Path], tuple[Path, str]], str]] = {
     "of a wrong CA": (
-        lambda site, p: (Authority.make(p / "b", "test", NOW).issue("x1.t", NOW).parent, "x1.t"),
+        lambda site, p: (Authority.create(p / "b", "test", NOW).issue("x1.t", NOW).parent, "x1.t"),
         "certificate",
     ),
     "self-signed": (
-        lambda site, p: (Authority.make(p / "c", "x1.t", NOW).folder, "ca"), "certificate",
+        lambda site, p: (Authority.create(p / "c", "x1.t", NOW).folder, "ca"), "certificate",
     ),
     "expired": (lambda site, p: (site.ca.issue("x1.t", NOW - 9999, 1, "old").parent, "old"), "expired"),
     "not yet valid": (
@@ -454,7 +464,7 @@
 
 def issue_revoked(site: Site) -> Authority:
     site.ca.issue("x1.t", NOW, stem="gone")
-    serial = site.ca.rows()[-1].serial
+    serial = site.ca.issued_certificates()[-1].serial
     site.ca.revoke(serial, NOW)
     site.servers[0].reload_credentials()
     return site.ca
@@ -495,7 +505,7 @@
         insider.send(notify("0-1"))
         await asyncio.sleep(0.5)
         assert insider.statuses[-1] == 200 and site.servers[0].engine is not None
-        assert site.servers[0].engine.ledgers[1].free == 0, (
+        assert site.servers[0].engine.trunk_groups[1].free == 0, (
             "an exchange can block the circuits of its own group"
         )
         assert await offer_calls(site, 2, 0, 2) == ["stands"] * 2
@@ -536,14 +546,16 @@
         offers = []
         for batch in range(6):
             offers += [
-                site.callers[a].offer(PLAIN, f"{4000 + (a + 1) % 3}1234") for a in range(3) for _ in range(8)
+                site.callers[a].offer_call(PLAIN, f"{4000 + (a + 1) % 3}1234")
+                for a in range(3)
+                for _ in range(8)
             ]
             if batch == 2:
                 for number in range(3):
                     site.ca.issue(site.stem(number), site.epoch())
             await asyncio.sleep(0.4)
         await asyncio.sleep(1)
-        finals = [c.finals for c in site.callers]
+        finals = [c.final_counts for c in site.callers]
         assert [a.outcome for a in offers] == ["stands"] * len(offers), (
             finals,
             [log.lines for log in site.logs],
@@ -562,7 +574,7 @@
         assert all(not s.replaced_flows and not s.engine.calls for s in site.servers if s.engine), (
             "replaced links are closed"
         )
-        assert all(a.outcome == "stands" and not a.cut for a in offers)
+        assert all(a.outcome == "stands" and not a.was_cut for a in offers)
 
         assert all("link lost" not in site.events(n) for n in range(3))
 
@@ -574,16 +586,16 @@
         await site.start(3, circuits=300)
         peer1_calls, peer2_calls = [], []
         for _ in range(20):
-            peer1_calls += [site.callers[0].offer(PLAIN, "40011234") for _ in range(10)]
-            peer2_calls += [site.callers[0].offer(PLAIN, "40021234")]
+            peer1_calls += [site.callers[0].offer_call(PLAIN, "40011234") for _ in range(10)]
+            peer2_calls += [site.callers[0].offer_call(PLAIN, "40021234")]
             await asyncio.sleep(0.2)
         assert [a.outcome for a in peer1_calls + peer2_calls].count("stands") > 200
         engine = site.servers[0].engine
-        assert engine is not None and len(engine.ledgers[1].busy) > 150
+        assert engine is not None and len(engine.trunk_groups[1].busy) > 150
         site.ca.revoke("x1.t", site.epoch())
         await asyncio.sleep(1.5)
-        assert not engine.ledgers[1].busy, "all circuits of the revoked peer are released"
-        assert not any(a.cut for a in peer2_calls) and sum(a.cut for a in peer1_calls) > 150
+        assert not engine.trunk_groups[1].busy, "all circuits of the revoked peer are released"
+        assert not any(a.was_cut for a in peer2_calls) and sum(a.was_cut for a in peer1_calls) > 150
         assert "revoked" in site.reasons(
             0, "peer certificate no longer accepted"
         ) and "revoked" in site.reasons(0)
@@ -626,13 +638,13 @@
 def test_key_rotation_during_a_drain_cuts_no_calls(tmp_path: Path) -> None:
     async def run(site: Site) -> None:
         await site.start()
-        offers = [site.callers[0].offer(PLAIN, "40011234") for _ in range(12)]
+        offers = [site.callers[0].offer_call(PLAIN, "40011234") for _ in range(12)]
         await asyncio.sleep(1)
         site.servers[0].stop()
         for number in range(2):
             site.ca.issue(site.stem(number), site.epoch())
         await asyncio.sleep(10)
-        assert [a.outcome for a in offers] == ["stands"] * 12 and not any(a.cut for a in offers)
+        assert [a.outcome for a in offers] == ["stands"] * 12 and not any(a.was_cut for a in offers)
         assert "keys read" in site.events(0) and "stopped" not in site.events(0)
         assert await offer_calls(site, 1) == ["given up"], "a new call is refused during the drain"
         await asyncio.sleep(25)
