--- a/eiderstep/interface.py
+++ b/eiderstep/interface.py
@@ -179,7 +179,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OfficeHeard:
-    """A report on a changed number of free circuits (unasked), or the end of a probe."""
+    """A report on a changed number of free circuits (unsolicited), or the end of a probe."""
 
     office: str
     unsolicited: bool
--- a/eiderstep/lab/world.py
+++ b/eiderstep/lab/world.py
@@ -319,18 +319,18 @@
                     address = self.proxies[number, other].address
                     source.add_running(Entry(address, other, zone=other % self.day.fleet.districts))
         server = await self.start_server(number, lists)
-        callers_part = self.day.callers
+        caller_settings = self.day.callers
         behaviour = CallerBehaviour(
-            give_up_time=callers_part.patience / SECOND,
-            max_redials=callers_part.redials,
-            redial_wait=(callers_part.waits[0] / SECOND, callers_part.waits[1] / SECOND),
-            pause_obeyed_share=callers_part.heeds,
-            early_hang_up_share=callers_part.leaves,
-            sends_marks=callers_part.marks,
+            give_up_time=caller_settings.patience / SECOND,
+            max_redials=caller_settings.redials,
+            redial_wait=(caller_settings.waits[0] / SECOND, caller_settings.waits[1] / SECOND),
+            pause_obeyed_share=caller_settings.heeds,
+            early_hang_up_share=caller_settings.leaves,
+            sends_marks=caller_settings.marks,
         )
         callers = Callers(
-            self.loop, server.address, Random(self.rng.getrandbits(64)), behaviour, callers_part.connections,
-            f"c{number}",
+            self.loop, server.address, Random(self.rng.getrandbits(64)), behaviour,
+            caller_settings.connections, f"c{number}",
         )  # fmt: skip
         callers.local_host = callers_host(number)
         control = self.control_hosts.get(number)
--- a/eiderstep/node/calls.py
+++ b/eiderstep/node/calls.py
@@ -466,16 +466,16 @@
         if attempt.state in OPEN_STATES:
             self._give_up_attempt(now, attempt, io.Outcome.NO_ANSWER, False)
 
-    def _give_up_attempt(self, now: int, attempt: Attempt, outcome: io.Outcome, settled: bool) -> None:
+    def _give_up_attempt(self, now: int, attempt: Attempt, outcome: io.Outcome, call_over: bool) -> None:
         if attempt.state is AttemptState.SENT:
             self.outgoing.append(
                 (attempt.flow, isup.encode_release(attempt.call.reference, isup.NORMAL_CLEARING))
             )
-        self._end_attempt(now, attempt, outcome, io.Cause.NONE, None, settled)
+        self._end_attempt(now, attempt, outcome, io.Cause.NONE, None, call_over)
 
     def _end_attempt(
         self, now: int, attempt: Attempt, outcome: io.Outcome, cause: io.Cause,
-        report: io.LoadReport | None, settled: bool,
+        report: io.LoadReport | None, call_over: bool,
     ) -> None:  # fmt: skip
         """End an attempt that was not answered.  Every such attempt ends here."""
         self._remove_from_link(attempt)
@@ -483,7 +483,7 @@
         call = attempt.call
         if call.attempt is attempt:
             call.attempt = None
-        settled = settled or call.state is not CallState.OFFERED
+        call_over = call_over or call.state is not CallState.OFFERED
         duration = now - attempt.sent_at
         if attempt.flow < 0 and attempt.office in self.free_circuits:
             self.free_circuits[attempt.office] += call.width
@@ -491,7 +491,7 @@
         self._update_free_circuits(attempt.office, report)
         self.events.append(
             io.AttemptEnded(
-                call.reference, attempt.leg, attempt.office, outcome, cause, settled, duration, 0, report
+                call.reference, attempt.leg, attempt.office, outcome, cause, call_over, duration, 0, report
             )
         )
 
--- a/eiderstep/wirehost.py
+++ b/eiderstep/wirehost.py
@@ -102,7 +102,7 @@
 
 
 def read_office_heard(values: Message) -> io.OfficeHeard:
-    """A PROBE_DONE: the end of a probe or, unasked, a changed number of free circuits."""
+    """A PROBE_DONE: the end of a probe or, unsolicited, a changed number of free circuits."""
     return io.OfficeHeard(
         values[0], values[1] == 0 and not values[2], values[1] == 0, values[2] or 0, read_report(values[3])
     )
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -164,21 +164,21 @@
     ) -> list[io.Action]:
         return self.handle(self.make_offer(class_no, dest, expires_in, **changes))
 
-    def answer_call(self, call: str, took: int = 20 * MS) -> list[io.Action]:
+    def answer_call(self, call: str, elapsed: int = 20 * MS) -> list[io.Action]:
         leg, office = self.attempts[call]
-        return self.handle(io.CallStands(call, leg, office, took))
+        return self.handle(io.CallStands(call, leg, office, elapsed))
 
     def end_attempt(
         self,
         call: str,
         outcome: io.Outcome,
         cause: io.Cause = io.Cause.NONE,
-        settled: bool = False,
+        call_over: bool = False,
         report: io.LoadReport | None = None,
-        took: int = 20 * MS,
+        elapsed: int = 20 * MS,
     ) -> list[io.Action]:
         leg, office = self.attempts[call]
-        return self.handle(io.AttemptEnded(call, leg, office, outcome, cause, settled, took, 0, report))
+        return self.handle(io.AttemptEnded(call, leg, office, outcome, cause, call_over, elapsed, 0, report))
 
     def run_until(self, until: int) -> list[io.Action]:
         """Advance the clock and deliver the timers that fall due."""
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -59,7 +59,7 @@
         server.report_circuits(n, free=20)
         first = sends(server.offer_call(0, dest=n))[0].call
         server.answer_call(first)
-        server.end_attempt(first, io.Outcome.RELEASED, settled=True)
+        server.end_attempt(first, io.Outcome.RELEASED, call_over=True)
     server.offer_call(0, dest=1)
     server.run_until(server.now + SECOND)
     sent = sum(bool(sends(server.offer_call(0, dest=1))) for _ in range(10))
@@ -74,7 +74,7 @@
     server.answer_call(first)  # sets the shortest response time
     server.answer_call(second)
     overload = io.LoadReport(free=30, size=30, waiting=50.0, max_rate=10.0)
-    server.end_attempt(second, io.Outcome.RELEASED, settled=True, report=overload)
+    server.end_attempt(second, io.Outcome.RELEASED, call_over=True, report=overload)
     server.answer_call(third)
     call = sends(server.offer_call(0))[0].call
     server.answer_call(call)
@@ -123,7 +123,7 @@
         for a in sends(server.run_until(server.now + 100 * MS)):
             server.answer_call(a.call)
         for call in list(server.attempts):
-            server.end_attempt(call, io.Outcome.RELEASED, settled=True)
+            server.end_attempt(call, io.Outcome.RELEASED, call_over=True)
     assert sends(server.offer_call(0, dest=2)) and sends(server.offer_call(0, dest=1)), (
         "calls were not sent again within a second of the outage"
     )
@@ -174,13 +174,13 @@
                     sent[int(a.office.split(":")[0].split(".")[-1])] += 1
                     if a.office not in map(address, silent):
                         server.answer_call(a.call)
-                        server.end_attempt(a.call, io.Outcome.RELEASED, settled=True)
+                        server.end_attempt(a.call, io.Outcome.RELEASED, call_over=True)
             for call, (leg, office) in list(server.attempts.items()):
                 if server.now >= server.expires[call]:
-                    settled = call in server.answered_at
+                    call_over = call in server.answered_at
                     no_answer = (io.Outcome.NO_ANSWER, io.Cause.NONE)
                     server.handle(
-                        io.AttemptEnded(call, leg, office, *no_answer, call_over=settled, elapsed=SECOND)
+                        io.AttemptEnded(call, leg, office, *no_answer, call_over=call_over, elapsed=SECOND)
                     )
 
     offer_calls(start + 4 * SECOND, ())
@@ -205,7 +205,7 @@
         for a in sends(server.offer_call(class_no)):
             sent[class_no] += 1
             server.answer_call(a.call, 20 * MS)
-            server.end_attempt(a.call, io.Outcome.RELEASED, settled=True)
+            server.end_attempt(a.call, io.Outcome.RELEASED, call_over=True)
         server.run_until(server.now + 10 * MS)
     assert sent[2] >= 55, "calls of most worth were shed while others could be"
     assert 120 <= sent[0] <= 300, "the other class was not shed by the reduction asked for"
@@ -269,7 +269,7 @@
             )
         assert set_ups[0].office == address(3)
         server.answer_call(set_ups[0].call)
-        server.end_attempt(set_ups[0].call, io.Outcome.RELEASED, settled=True)
+        server.end_attempt(set_ups[0].call, io.Outcome.RELEASED, call_over=True)
         server.run_until(server.now + 5 * SECOND)
     assert len(turned_back) <= 1, "calls went on to the tandem that turns them back"
 
@@ -314,7 +314,7 @@
         for _ in range(3):
             call = sends(server.offer_call(2, dest=n))[0].call
             server.answer_call(call)
-            server.end_attempt(call, io.Outcome.RELEASED, settled=True)
+            server.end_attempt(call, io.Outcome.RELEASED, call_over=True)
     calls = [sends(server.offer_call(2, dest=n))[0].call for n in (1, 2, 3) for _ in range(2)]
     server.now += (
         2 * SECOND
@@ -360,7 +360,7 @@
     sent = sum(bool(sends(server.offer_call(0, dest=n))) for n in range(5, 12) for _ in range(4))
     assert sent <= 3, "calls were not shed though no office answers"
     # The last set-up sent is answered, so the other offices are overloaded, not the own processor.
-    server.answer_call(next(iter(reversed(server.attempts))), took=20 * MS)
+    server.answer_call(next(iter(reversed(server.attempts))), elapsed=20 * MS)
     assert all(sends(server.offer_call(0, dest=n)) for n in range(6, 12)), (
         "calls were shed though an office answers"
     )
@@ -372,14 +372,14 @@
     reduction = io.LoadReport(free=400, size=400, reduction=0.9)
     call = sends(server.offer_call(0))[0].call
     server.answer_call(call)
-    server.end_attempt(call, io.Outcome.RELEASED, settled=True, report=reduction)
+    server.end_attempt(call, io.Outcome.RELEASED, call_over=True, report=reduction)
     server.run_until(server.now + 4 * SECOND)
     sent = 0
     for _ in range(20):
         for a in sends(server.offer_call(0)):
             sent += 1
             server.answer_call(a.call)
-            server.end_attempt(a.call, io.Outcome.RELEASED, settled=True)
+            server.end_attempt(a.call, io.Outcome.RELEASED, call_over=True)
     assert sent <= 13, "the reduction lost its effect before the next report was due"
     server.run_until(server.now + 60 * SECOND)
     assert all(sends(server.offer_call(2)) for _ in range(2)), "the reduction still had effect after a minute"
@@ -467,7 +467,7 @@
     for _ in range(4):
         call = sends(server.offer_call(2))[0].call
         server.answer_call(call)
-        server.end_attempt(call, io.Outcome.RELEASED, settled=True)
+        server.end_attempt(call, io.Outcome.RELEASED, call_over=True)
     return server, io.LoadReport(free=30, size=30, reduction=0.0)
 
 
@@ -519,7 +519,7 @@
                 resends += 1
                 if resends % 10 < successes:
                     server.answer_call(call)
-                    server.end_attempt(call, io.Outcome.RELEASED, settled=True)
+                    server.end_attempt(call, io.Outcome.RELEASED, call_over=True)
                     break
             if not sends(server.end_attempt(call, io.Outcome.FAULT)):
                 break
@@ -579,7 +579,9 @@
         server.report_circuits(1, free=20)
         call = sends(server.offer_call(0))[0].call
         answers = final_answers(
-            server.end_attempt(call, io.Outcome.TURNED_AWAY, io.Cause.PROCESSOR_FULL, took=20 * MS // divisor)
+            server.end_attempt(
+                call, io.Outcome.TURNED_AWAY, io.Cause.PROCESSOR_FULL, elapsed=20 * MS // divisor
+            )
         )
         office = server.controller.offices[address(1)]
         shares = []
@@ -602,7 +604,7 @@
     server = Rig(rig.build_settings(attempt_cap=6), numbers=(0, 1))
     server.report_circuits(1, free=20)
     first = sends(server.offer_call(0))[0].call
-    server.answer_call(first, took=100 * MS)
+    server.answer_call(first, elapsed=100 * MS)
     late, timely = (sends(server.offer_call(0, expires_in=500 * MS))[0].call for _ in range(2))
     server.now += 399 * MS
     assert sends(server.end_attempt(timely, io.Outcome.FAULT))
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -48,12 +48,12 @@
                 outcome = rng.choice(list(io.Outcome))
                 if call not in standing and outcome is io.Outcome.RELEASED:
                     outcome = io.Outcome.TURNED_AWAY
-                settled = call in standing or call in server.answered_at
+                call_over = call in standing or call in server.answered_at
                 report = io.LoadReport(
                     rng.randrange(20), 30, waiting=rng.randrange(90), max_rate=rng.choice((None, 5.0, 40.0)),
                     reduction=rng.choice((None, 0.0, 0.7)),
                 )  # fmt: skip
-                log += server.end_attempt(call, outcome, rng.choice(list(io.Cause)), settled, report)
+                log += server.end_attempt(call, outcome, rng.choice(list(io.Cause)), call_over, report)
         elif choice < 0.9:
             log += server.report_circuits(rng.choice(numbers), rng.randrange(30))
         elif choice < 0.97:
@@ -106,7 +106,7 @@
             if isinstance(action, io.Send) and action.office == address(1):
                 sent_at.append(server.now)
                 server.answer_call(action.call)
-                server.end_attempt(action.call, io.Outcome.RELEASED, settled=True)
+                server.end_attempt(action.call, io.Outcome.RELEASED, call_over=True)
         server.run_until(server.now + 20 * MS)
     config = server.settings
     budget = (
@@ -148,7 +148,7 @@
                         sent_at.append(server.now)
                     server.answer_call(a.call)
                     server.end_attempt(
-                        a.call, io.Outcome.RELEASED, settled=True, report=io.LoadReport(max_rate=rate)
+                        a.call, io.Outcome.RELEASED, call_over=True, report=io.LoadReport(max_rate=rate)
                     )
                 sent_at.extend(
                     server.now
@@ -157,7 +157,7 @@
                 )
                 for name in list(server.attempts):
                     server.answer_call(name)
-                    server.end_attempt(name, io.Outcome.RELEASED, settled=True)
+                    server.end_attempt(name, io.Outcome.RELEASED, call_over=True)
 
     for server in fleet:
         server.report_circuits(2, free=500, size=500)
